--- a/crates/stackpier-cell/src/outlook.rs
+++ b/crates/stackpier-cell/src/prediction.rs
@@ -42,10 +42,10 @@
     own: Ahead,
 }
 
-/// Outlook is what is expected of one serving task on a worker, with all that
+/// Prediction is what is expected of one serving task on a worker, with all that
 /// fills there.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Outlook {
+pub(crate) struct Prediction {
     pub image: ImageKey,
     pub loads: Ahead,
     /// How likely each of these is over its target.
@@ -55,7 +55,7 @@
     pub seen: Option<f64>,
 }
 
-impl Outlook {
+impl Prediction {
     /// soon returns the load expected by the next report: no less than the
     /// last one showed, if nothing was done about that.
     pub(crate) fn soon(&self) -> f64 {
@@ -64,19 +64,19 @@
 }
 
 impl Cell {
-    /// look_ahead_on renews what is expected on a worker.
-    pub(crate) fn look_ahead_on(&mut self, key: WorkerKey) {
+    /// update_predictions renews what is expected on a worker.
+    pub(crate) fn update_predictions(&mut self, key: WorkerKey) {
         let serving = self.serving(key);
         let pressures = self.pressures(key);
         let steady = self.is_steady(key);
-        let outlooks = serving
+        let predictions = serving
             .into_iter()
-            .filter_map(|run| self.outlook(run, &pressures, steady));
-        let outlooks = outlooks.collect();
-        self.worker_mut(key).outlooks = outlooks;
+            .filter_map(|run| self.predict(run, &pressures, steady));
+        let predictions = predictions.collect();
+        self.worker_mut(key).predictions = predictions;
     }
 
-    fn outlook(&mut self, key: RunKey, pressures: &[Pressure], steady: bool) -> Option<Outlook> {
+    fn predict(&mut self, key: RunKey, pressures: &[Pressure], steady: bool) -> Option<Prediction> {
         let run = self.runs.get(key)?;
         let seen = run.load.filter(|_| steady);
         let (step, image, deviation) = (run.step, run.image, run.deviation);
@@ -87,7 +87,7 @@
             load.mean += added.mean + kept * deviation;
             load.variance += added.variance + DEVIATION_VARIANCE;
         }
-        Some(Outlook {
+        Some(Prediction {
             image,
             loads,
             over: loads.map(|load| over(&load)),
@@ -126,8 +126,8 @@
         };
         let runs = self.worker(worker).runs.iter();
         let runs = runs.filter_map(|key| self.runs.get(*key));
-        let fills = |run: &&Run| run.fills && run.phase != Phase::Stopping;
-        runs.filter(fills).map(pressure).collect()
+        let best_effort = |run: &&Run| run.best_effort && run.phase != Phase::Stopping;
+        runs.filter(best_effort).map(pressure).collect()
     }
 
     /// harm returns the expected rise in the number of serving tasks over
@@ -136,14 +136,14 @@
     pub(crate) fn harm(&self, key: WorkerKey, image: ImageKey, milli_cores: u32, most: f64) -> f64 {
         let cores = cores(milli_cores);
         let mut harm = 0.0;
-        for outlook in &self.worker(key).outlooks {
-            self.fills.budget.spend(1);
-            let pair = self.model.pair(outlook.image, image);
+        for prediction in &self.worker(key).predictions {
+            self.best_effort_pass.budget.spend(1);
+            let pair = self.model.pair(prediction.image, image);
             let added = Estimate {
                 mean: (pair.mean * cores).max(0.0),
                 variance: pair.variance * cores * cores,
             };
-            harm += outlook.rise(&added) / POINTS as f64;
+            harm += prediction.rise(&added) / POINTS as f64;
             if harm > most {
                 break;
             }
@@ -152,7 +152,7 @@
     }
 }
 
-impl Outlook {
+impl Prediction {
     /// rise returns how much likelier it is over its target with some load more, summed
     /// over the times ahead.
     fn rise(&self, added: &Estimate) -> f64 {
--- a/crates/stackpier-cell/src/taken.rs
+++ b/crates/stackpier-cell/src/received.rs
@@ -11,11 +11,11 @@
 
 use stackpier_core::Millis;
 
-/// Taken is the set of a worker's ends that are taken in.
+/// Received is the set of a worker's ends that are taken in.
 #[derive(Debug, Default)]
-pub(crate) struct Taken {
+pub(crate) struct Received {
     /// No end up to this number is missing.
-    complete: u64,
+    last_contiguous: u64,
     /// The ends above it that are taken in.
     above: BTreeSet<u64>,
     /// The gap below these, if there is one.
@@ -41,26 +41,31 @@
     end: u64,
 }
 
-impl Taken {
+impl Received {
     /// insert takes an end in and tells whether it is new.
     pub(crate) fn insert(&mut self, number: u64) -> bool {
-        number > self.complete && self.above.insert(number)
+        number > self.last_contiguous && self.above.insert(number)
     }
 
-    /// close follows the ends of a report that was asked for at `sent` and came at `now`. It
+    /// advance_past_gap follows the ends of a report that was asked for at `sent` and came at `now`. It
     /// raises the number below which none is missing: past ends that are there, and past a gap
     /// that a report still has which was asked for later than `wait_ms` after it was seen.
     ///
     /// That holds for a list that is cut, too: what it lacks may be below, but nothing more of
     /// it would ever show unless some of it is forgotten. It returns the gap that it went past.
-    pub(crate) fn close(&mut self, sent: Millis, now: Millis, wait_ms: u64) -> Option<Skipped> {
+    pub(crate) fn advance_past_gap(
+        &mut self,
+        sent: Millis,
+        now: Millis,
+        wait_ms: u64,
+    ) -> Option<Skipped> {
         self.advance();
-        let first = self.complete + 1;
+        let first = self.last_contiguous + 1;
         let waited = |gap: &Gap| sent > gap.seen.plus(wait_ms);
         let confirmed = |gap: &Gap| waited(gap) && self.above.first() == Some(&gap.end);
         let closed = self.gap.filter(confirmed);
         if let Some(gap) = closed {
-            self.complete = gap.end - 1;
+            self.last_contiguous = gap.end - 1;
             self.advance();
         }
         let known = |gap: &Gap| self.above.first() == Some(&gap.end);
@@ -76,8 +81,8 @@
 
     /// advance goes past the ends that follow each other.
     fn advance(&mut self) {
-        while self.above.remove(&(self.complete + 1)) {
-            self.complete += 1;
+        while self.above.remove(&(self.last_contiguous + 1)) {
+            self.last_contiguous += 1;
         }
     }
 
@@ -86,13 +91,13 @@
         !self.above.is_empty()
     }
 
-    /// complete returns the number up to which no end is missing.
-    pub(crate) fn complete(&self) -> u64 {
-        self.complete
+    /// last_contiguous returns the number up to which no end is missing.
+    pub(crate) fn last_contiguous(&self) -> u64 {
+        self.last_contiguous
     }
 
-    /// is_above tells whether an end above a number is taken in.
-    pub(crate) fn is_above(&self, number: u64) -> bool {
-        self.complete > number || !self.above.is_empty()
+    /// has_above tells whether an end above a number is taken in.
+    pub(crate) fn has_above(&self, number: u64) -> bool {
+        self.last_contiguous > number || !self.above.is_empty()
     }
 }
--- a/crates/stackpier-cell/src/report.rs
+++ b/crates/stackpier-cell/src/report.rs
@@ -4,55 +4,55 @@
 use stackpier_core::Millis;
 
 use crate::{
-    Cell, Report, Row, TaskName,
+    Cell, Report, RunStatus, TaskName,
     arena::{RunKey, TaskKey, WorkerKey},
     run::{Phase, Run},
-    worker::{Clock, Life},
+    worker::{Clock, Presence},
 };
 
 /// PERCENT_DONE is the percent of a lasting task that is at work.
 const PERCENT_DONE: u8 = 100;
 
 impl Cell {
-    /// take_report takes in a report that was asked for at `sent`.
-    pub(crate) fn take_report(&mut self, key: WorkerKey, sent: Millis, report: Report) {
-        if !self.take_life(key, sent, &report) {
+    /// apply_report takes in a report that was asked for at `sent`.
+    pub(crate) fn apply_report(&mut self, key: WorkerKey, sent: Millis, report: Report) {
+        if !self.match_incarnation(key, sent, &report) {
             return;
         }
-        self.hear(key, sent, report.clock_ms);
-        self.take_ends(key, sent, report.ended);
+        self.record_contact(key, sent, report.clock_ms);
+        self.apply_ends(key, sent, report.ended);
         let again = self.inherit(key, sent, report.whole);
-        for row in &report.running {
-            self.take_row(key, sent, row);
+        for status in &report.running {
+            self.apply_run_status(key, sent, status);
         }
         if report.whole {
             self.miss_runs(key, sent, &report.running);
         }
-        self.meet(key);
+        self.mark_contacted(key);
         // They start where an answer has just come from.
-        self.place_wanted |= self.suspects_wait();
-        self.learn(key);
-        self.set_paces(key);
+        self.place_wanted |= self.has_waiting_suspects();
+        self.learn_from_report(key);
+        self.adjust_paces(key);
         if again || self.worker(key).announced.is_some() {
-            self.hold_now(key);
+            self.renew_now(key);
         } else {
-            self.next_hold(key);
+            self.schedule_renewal(key);
         }
     }
 
-    /// hear takes in that a worker answers, and what its clock shows.
-    fn hear(&mut self, key: WorkerKey, sent: Millis, clock_ms: u64) {
+    /// record_contact takes in that a worker answers, and what its clock shows.
+    fn record_contact(&mut self, key: WorkerKey, sent: Millis, clock_ms: u64) {
         let at = self.now.mono;
         let worker = self.worker_mut(key);
         worker.clock = Some(Clock { at, ms: clock_ms });
         // Its report tells better what runs there.
-        worker.ended_unseen = None;
+        worker.presumed_ended = None;
         worker.reported = sent;
-        worker.final_hold = None;
-        worker.forgotten = worker.forgotten.max(worker.telling);
+        worker.final_renewal = None;
+        worker.ack_confirmed = worker.ack_confirmed.max(worker.acking);
         if worker.silent_since.take().is_some() {
             let text = format!("worker {} answers again", worker.info.id);
-            self.note("worker", None, text);
+            self.log("worker", None, text);
         }
     }
 
@@ -67,40 +67,40 @@
         again
     }
 
-    /// meet notes that a worker has answered, if that is news.
-    fn meet(&mut self, key: WorkerKey) {
+    /// mark_contacted notes that a worker has answered, if that is news.
+    fn mark_contacted(&mut self, key: WorkerKey) {
         let worker = self.worker_mut(key);
-        if worker.life == Life::Met {
+        if worker.presence == Presence::Contacted {
             return;
         }
-        worker.life = Life::Met;
+        worker.presence = Presence::Contacted;
         let text = format!(
             "worker {} answered for the first time, {} runs there",
             worker.info.id,
             worker.runs.len()
         );
-        self.note("worker", None, text);
+        self.log("worker", None, text);
         self.saver.roster_changed = true;
         self.place_wanted = true;
     }
 
-    /// take_row takes in one run that a worker reports.
-    fn take_row(&mut self, key: WorkerKey, sent: Millis, row: &Row) {
-        let Some(task) = self.find(row.task) else {
-            self.report_unknown(key, row.task);
+    /// apply_run_status takes in one run that a worker reports.
+    fn apply_run_status(&mut self, key: WorkerKey, sent: Millis, status: &RunStatus) {
+        let Some(task) = self.find(status.task) else {
+            self.report_unknown(key, status.task);
             return;
         };
-        let run = match self.run_on(task, key, row.run) {
+        let run = match self.run_on(task, key, status.run) {
             Some(run) => run,
             None => {
                 self.unqueue(task);
-                let run = self.adopt(task, key, row.run);
+                let run = self.adopt(task, key, status.run);
                 self.judge_adopted(task, run);
                 run
             }
         };
-        self.refresh(run, row);
-        self.prove(run, sent);
+        self.refresh(run, status);
+        self.clear_run(run, sent);
     }
 
     fn report_unknown(&mut self, key: WorkerKey, name: TaskName) {
@@ -108,16 +108,16 @@
             "worker {} runs a task of a job that is not known",
             self.worker(key).info.id
         );
-        self.note("worker", Some(name), text);
+        self.log("worker", Some(name), text);
     }
 
     /// judge_adopted stops an adopted run that must not go on.
     fn judge_adopted(&mut self, task: TaskKey, run: RunKey) {
         let others = self.task(task).runs.len() > 1;
-        let copies = self.shape(self.task(task).step).speculative;
+        let copies = self.step_spec(self.task(task).step).speculative;
         let over = self.task(task).done || self.job_of(task).state.is_final();
         let text = "run of an earlier owner taken over".to_owned();
-        self.note("takeover", Some(self.name(task)), text);
+        self.log("takeover", Some(self.name(task)), text);
         if over || (others && !copies) {
             self.stop(run);
         }
@@ -132,13 +132,13 @@
         self.task(task).runs.iter().find(here).copied()
     }
 
-    fn refresh(&mut self, key: RunKey, row: &Row) {
+    fn refresh(&mut self, key: RunKey, status: &RunStatus) {
         let now = self.now.mono;
         let Some(run) = self.runs.get(key) else {
             return;
         };
         let (task, step) = (run.task, run.step);
-        let target_ms = self.shape(step).target_ms;
+        let target_ms = self.step_spec(step).target_ms;
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
@@ -146,19 +146,19 @@
             run.phase = Phase::Running;
             run.confirmed = Some(now);
         }
-        run.shown = true;
-        if run.percent != row.percent {
-            run.percent = row.percent;
-            run.moved = now;
+        run.reported = true;
+        if run.percent != status.percent {
+            run.percent = status.percent;
+            run.progressed_at = now;
         }
-        if run.saved != row.checkpoint {
-            run.saved.clone_from(&row.checkpoint);
+        if run.saved != status.checkpoint {
+            run.saved.clone_from(&status.checkpoint);
         }
         if run.serving {
-            let tail = row.figure.filter(|_| row.percent == PERCENT_DONE);
+            let tail = status.figure.filter(|_| status.percent == PERCENT_DONE);
             run.take_tail(now, tail, target_ms);
         } else {
-            run.used_milli = row.figure;
+            run.used_milli = status.figure;
         }
         self.begin(task);
     }
@@ -172,14 +172,14 @@
     /// placed again only if no end is listed within the time that a stop takes. Tasks that
     /// were placed at once were done twice. A report that lists only some of the ends shows
     /// nothing of the kind.
-    fn miss_runs(&mut self, key: WorkerKey, sent: Millis, rows: &[Row]) {
+    fn miss_runs(&mut self, key: WorkerKey, sent: Millis, statuses: &[RunStatus]) {
         for run in self.worker(key).runs.clone() {
             let Some(entry) = self.runs.get(run) else {
                 continue;
             };
             let name = self.name(entry.task);
-            let shown = |row: &Row| row.task == name && row.run == entry.number;
-            if rows.iter().any(shown) {
+            let shown = |status: &RunStatus| status.task == name && status.run == entry.number;
+            if statuses.iter().any(shown) {
                 continue;
             }
             match entry.phase {
@@ -189,13 +189,13 @@
                     let text = format!(
                         "run {number} is gone from worker {} without an end; ends up to {} are known",
                         worker.info.id,
-                        worker.taken.complete()
+                        worker.received.last_contiguous()
                     );
-                    self.note("end", Some(name), text);
+                    self.log("end", Some(name), text);
                     self.stop(run);
                 }
                 Phase::Stopping if self.is_stopped(entry, sent) => {
-                    self.note("end", Some(name), "stopped run is not there".to_owned());
+                    self.log("end", Some(name), "stopped run is not there".to_owned());
                     self.requeue(run);
                 }
                 _ => {}
--- a/crates/stackpier-cell/src/restart.rs
+++ b/crates/stackpier-cell/src/restart.rs
@@ -15,7 +15,7 @@
     Cell, Report,
     arena::{RunKey, WorkerKey},
     run::Phase,
-    worker::{Clock, Info, Inheritance, Life, Worker},
+    worker::{Clock, Info, Inheritance, Presence, Worker},
 };
 
 /// Announced is the entry of a life that is not known to be the present one.
@@ -27,14 +27,14 @@
 }
 
 impl Worker {
-    /// is_described tells whether its entry is of this life: another one may be of another kind.
-    pub(crate) fn is_described(&self) -> bool {
+    /// has_own_entry tells whether its entry is of this life: another one may be of another kind.
+    pub(crate) fn has_own_entry(&self) -> bool {
         self.announced.is_none() && !differ(self.info.started_at, self.started_at)
     }
 
     /// is_listed tells whether the list shows an entry of this life.
     pub(crate) fn is_listed(&self) -> bool {
-        self.unlisted_since.is_none() && self.is_described()
+        self.unlisted_since.is_none() && self.has_own_entry()
     }
 
     /// is_of tells whether a description is of this life, as far as either tells.
@@ -44,16 +44,21 @@
 }
 
 impl Cell {
-    /// take_life takes in which life a report is of, asked for at `sent`, and tells whether it
+    /// match_incarnation takes in which life a report is of, asked for at `sent`, and tells whether it
     /// is the known one. A report of another one only begins that: it was asked for with what
     /// was known of the earlier one.
-    pub(crate) fn take_life(&mut self, key: WorkerKey, sent: Millis, report: &Report) -> bool {
+    pub(crate) fn match_incarnation(
+        &mut self,
+        key: WorkerKey,
+        sent: Millis,
+        report: &Report,
+    ) -> bool {
         if !self.is_latest(key) {
             return false;
         }
         let worker = self.worker_mut(key);
         if differ(report.started_at, worker.started_at) {
-            self.begin_life(key, report.started_at, report.clock_ms);
+            self.begin_incarnation(key, report.started_at, report.clock_ms);
             return false;
         }
         worker.started_at = worker.started_at.or(report.started_at);
@@ -61,7 +66,7 @@
         match answered {
             Some(announced) if report.started_at.is_none() => {
                 // Its reports do not tell which life it is, so the entry does.
-                self.replace_life(key, announced.info.started_at, announced.info);
+                self.replace_incarnation(key, announced.info.started_at, announced.info);
                 false
             }
             _ => true,
@@ -80,15 +85,16 @@
             return true;
         }
         let worker = self.worker_mut(key);
-        let unused = worker.life == Life::New && !worker.is_inherited() && worker.runs.is_empty();
-        if unused || worker.life == Life::Over {
-            self.replace_life(key, info.started_at, info.clone());
+        let unused =
+            worker.presence == Presence::New && !worker.is_inherited() && worker.runs.is_empty();
+        if unused || worker.presence == Presence::Gone {
+            self.replace_incarnation(key, info.started_at, info.clone());
         } else {
             worker.announced = Some(Announced {
                 info: info.clone(),
                 at: now,
             });
-            self.hold_now(key);
+            self.renew_now(key);
         }
         true
     }
@@ -105,9 +111,9 @@
         self.worker_keys.get(&self.worker(key).info.id) == Some(&key)
     }
 
-    /// begin_life has a later life take the place of one whose address answers for it.
-    fn begin_life(&mut self, key: WorkerKey, started_at: Option<Unix>, clock_ms: u64) {
-        self.note_told(key);
+    /// begin_incarnation has a later life take the place of one whose address answers for it.
+    fn begin_incarnation(&mut self, key: WorkerKey, started_at: Option<Unix>, clock_ms: u64) {
+        self.log_acking(key);
         let worker = self.worker_mut(key);
         let (unlisted_since, unreadable) = (worker.unlisted_since, worker.unreadable);
         let announced = worker.announced.take().map(|announced| announced.info);
@@ -115,7 +121,7 @@
         let is_listed = entry.is_some();
         let info = entry.unwrap_or_else(|| worker.info.clone());
         let (at, max_lease_ms) = (self.now.mono, self.options.max_lease_ms);
-        let later = self.replace_life(key, started_at, info);
+        let later = self.replace_incarnation(key, started_at, info);
         let worker = self.worker_mut(later);
         if !is_listed {
             worker.unlisted_since = unlisted_since;
@@ -126,55 +132,60 @@
         worker.deadline_ms = clock_ms + max_lease_ms;
     }
 
-    /// note_told tells of a later life that was told to forget ends of the earlier one: it may
+    /// log_acking tells of a later life that was told to forget ends of the earlier one: it may
     /// have forgotten some of its own.
-    fn note_told(&mut self, key: WorkerKey) {
+    fn log_acking(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
-        if worker.telling > 0 {
+        if worker.acking > 0 {
             let text = format!(
                 "another life of worker {} was told to forget ends up to {}",
                 worker.incarnation(),
-                worker.telling
+                worker.acking
             );
-            self.note("report", None, text);
+            self.log("report", None, text);
         }
     }
 
-    /// replace_life ends a life and begins the next one of the same id.
-    fn replace_life(&mut self, key: WorkerKey, started_at: Option<Unix>, info: Info) -> WorkerKey {
+    /// replace_incarnation ends a life and begins the next one of the same id.
+    fn replace_incarnation(
+        &mut self,
+        key: WorkerKey,
+        started_at: Option<Unix>,
+        info: Info,
+    ) -> WorkerKey {
         let now = self.now.mono;
         let worker = self.worker(key);
         let inherited = worker.is_inherited();
-        if worker.is_heard() && !worker.closed {
+        if worker.is_responsive() && !worker.closed {
             // Before runs move away: what began last may have brought it down.
             self.suspect_runs(key);
             self.worker_mut(key).silent_since = Some(now);
         }
-        let later = self.add_life(started_at, info);
-        self.move_unseen_runs(key, later);
-        self.bar_unanswered(key, later);
-        self.end_life(key, "it started again");
+        let later = self.add_incarnation(started_at, info);
+        self.move_unreported_runs(key, later);
+        self.block_unanswered(key, later);
+        self.end_incarnation(key, "it started again");
         if inherited {
             self.worker_mut(later).inheritance = Inheritance::Unseen;
         }
         later
     }
 
-    /// move_unseen_runs has the later life looked at for runs that no report of the earlier
+    /// move_unreported_runs has the later life looked at for runs that no report of the earlier
     /// one has shown. Orders name a worker by its id, so one that was meant for the earlier
     /// life may have reached the later one. If it has not, a later owner may have heard of the
     /// run's end from the earlier one.
-    fn move_unseen_runs(&mut self, earlier: WorkerKey, later: WorkerKey) {
+    fn move_unreported_runs(&mut self, earlier: WorkerKey, later: WorkerKey) {
         for key in self.worker(earlier).runs.clone() {
-            if self.is_sent(key) && !self.is_shown(key) {
+            if self.is_sent(key) && !self.is_reported(key) {
                 self.move_run(key, later);
-                self.end_task_unseen(key);
+                self.presume_task_ended(key);
             }
         }
     }
 
-    fn is_shown(&self, key: RunKey) -> bool {
-        self.runs.get(key).is_some_and(|run| run.shown)
+    fn is_reported(&self, key: RunKey) -> bool {
+        self.runs.get(key).is_some_and(|run| run.reported)
     }
 
     fn move_run(&mut self, key: RunKey, to: WorkerKey) {
--- a/crates/stackpier-cell/src/roster.rs
+++ b/crates/stackpier-cell/src/roster.rs
@@ -7,8 +7,8 @@
     Cell, RosterEntry,
     arena::WorkerKey,
     health::Health,
-    taken::Taken,
-    worker::{Info, Inheritance, Life, Worker},
+    received::Received,
+    worker::{Info, Inheritance, Presence, Worker},
 };
 
 impl Cell {
@@ -36,17 +36,17 @@
         worker.inheritance = Inheritance::Unseen;
         worker.rostered = true;
         worker.unlisted_since = Some(now);
-        self.hold_now(key);
+        self.renew_now(key);
     }
 
-    /// miss_roster notes that the workers which earlier owners used can't be told: what they
+    /// set_roster_unknown notes that the workers which earlier owners used can't be told: what they
     /// leased is waited for.
-    pub fn miss_roster(&mut self) {
-        self.tenure.roster_unknown = true;
+    pub fn set_roster_unknown(&mut self) {
+        self.ownership.roster_unknown = true;
     }
 
-    /// list takes in a worker as the list shows it now.
-    pub(crate) fn list(&mut self, info: Info) {
+    /// apply_entry takes in a worker as the list shows it now.
+    pub(crate) fn apply_entry(&mut self, info: Info) {
         let Some(key) = self.worker_keys.get(&info.id).copied() else {
             self.add_worker(info);
             return;
@@ -60,11 +60,11 @@
             return;
         }
         let worker = self.worker_mut(key);
-        if worker.life == Life::Over {
+        if worker.presence == Presence::Gone {
             // It was given up while it could not be reached, and shows again.
-            worker.life = Life::New;
+            worker.presence = Presence::New;
             worker.clock = None;
-            worker.hold_after = now;
+            worker.renew_after = now;
         }
         let newly_draining = info.draining && !worker.info.draining;
         worker.started_at = worker.started_at.or(info.started_at);
@@ -74,13 +74,14 @@
         worker.unlisted_since = None;
         worker.unreadable = false;
         // One that had left may come back: it is in the roster before it gets starts.
-        let stays = worker.life == Life::Met && !worker.rostered && !worker.info.draining;
+        let stays =
+            worker.presence == Presence::Contacted && !worker.rostered && !worker.info.draining;
         self.saver.roster_changed |= stays;
         let worker = self.worker_mut(key);
         if newly_draining {
             worker.drain_seen = Some(now);
             let text = format!("worker {} is draining", worker.info.id);
-            self.note("worker", None, text);
+            self.log("worker", None, text);
             self.check_drains();
         }
         self.place_wanted = true;
@@ -88,51 +89,51 @@
 
     /// add_worker adds a worker that was not known and asks it for a report.
     fn add_worker(&mut self, info: Info) -> WorkerKey {
-        self.add_life(info.started_at, info)
+        self.add_incarnation(info.started_at, info)
     }
 
-    /// add_life adds a life of a worker, started at a time, and asks it for a report. What is
+    /// add_incarnation adds a life of a worker, started at a time, and asks it for a report. What is
     /// known of the worker may be the entry of an earlier life.
-    pub(crate) fn add_life(&mut self, started_at: Option<Unix>, info: Info) -> WorkerKey {
+    pub(crate) fn add_incarnation(&mut self, started_at: Option<Unix>, info: Info) -> WorkerKey {
         let key = WorkerKey(self.workers.len() as u32);
         let worker = Worker {
             service: self.services.number(&info.service),
             rack: self.racks.number(&info.rack),
-            life: Life::New,
+            presence: Presence::New,
             started_at,
             announced: None,
             unlisted_since: None,
             unreadable: false,
             rostered: false,
             inheritance: Inheritance::None,
-            ended_unseen: None,
+            presumed_ended: None,
             runs: Vec::new(),
             unanswered: Vec::new(),
-            reserved: Size::default(),
-            lasting_milli: 0,
+            allocated: Size::default(),
+            long_running_milli: 0,
             other_milli: 0,
             clock: None,
             deadline_ms: 0,
-            holding: false,
-            hold_sent: Millis(0),
-            final_hold: None,
-            hold_after: Millis(0),
+            renewing: false,
+            renewal_sent: Millis(0),
+            final_renewal: None,
+            renew_after: Millis(0),
             silent_since: None,
-            taken: Taken::default(),
-            noted: 0,
+            received: Received::default(),
+            acked: 0,
             reported: Millis(0),
-            forgotten: 0,
-            telling: 0,
-            note_after_save: 0,
+            ack_confirmed: 0,
+            acking: 0,
+            ack_after_save: 0,
             health: Health::default(),
             isolation: None,
             full_until: Millis(0),
-            unbounded_at: None,
+            relaxed_start_at: None,
             closed: false,
-            spared: false,
+            evacuated: false,
             dedicated: None,
-            claim: None,
-            outlooks: Vec::new(),
+            reservation: None,
+            predictions: Vec::new(),
             drain_seen: info.draining.then_some(self.now.mono),
             info,
         };
@@ -143,19 +144,19 @@
         );
         self.worker_keys.insert(worker.info.id.clone(), key);
         self.workers.push(worker);
-        self.note("worker", None, text);
-        self.hold_now(key);
+        self.log("worker", None, text);
+        self.renew_now(key);
         key
     }
 
-    /// unlist notes that a worker left the list.
-    pub(crate) fn unlist(&mut self, id: &str) {
+    /// mark_unlisted notes that a worker left the list.
+    pub(crate) fn mark_unlisted(&mut self, id: &str) {
         let Some(key) = self.worker_keys.get(id).copied() else {
             return;
         };
         let now = self.now.mono;
         let worker = self.worker_mut(key);
-        if worker.unlisted_since.is_some() || worker.life == Life::Over {
+        if worker.unlisted_since.is_some() || worker.presence == Presence::Gone {
             return;
         }
         worker.unlisted_since = Some(now);
@@ -166,7 +167,7 @@
             worker.info.draining,
             worker.runs.len()
         );
-        self.note("worker", None, text);
+        self.log("worker", None, text);
     }
 
     /// mark_unreadable notes that a worker's entry can't be read: who wrote it, and of what
@@ -179,45 +180,45 @@
             return;
         }
         self.worker_mut(key).unreadable = true;
-        self.unlist(id);
+        self.mark_unlisted(id);
     }
 
     /// check_workers sends holds that are due, and ends leases.
     pub(crate) fn check_workers(&mut self) {
         let now = self.now.mono;
         self.settle_all();
-        for key in self.live_now() {
+        for key in self.collect_live_workers() {
             self.check_silence(key);
             if self.is_given_up(self.worker(key)) {
-                self.lapse(key);
+                self.expire_lease(key);
             }
             self.retire(key);
-            self.strike_off(key);
+            self.deregister(key);
             let worker = self.worker(key);
-            if !worker.holding && now >= worker.hold_after {
-                self.hold_now(key);
+            if !worker.renewing && now >= worker.renew_after {
+                self.renew_now(key);
             }
         }
-        self.ask_unmet();
+        self.poll_uncontacted();
     }
 
-    /// lapse ends all runs on a worker whose lease is over by its own clock.
-    fn lapse(&mut self, key: WorkerKey) {
+    /// expire_lease ends all runs on a worker whose lease is over by its own clock.
+    fn expire_lease(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         let Some(end) = worker.lease_end() else {
             return;
         };
-        if worker.runs.is_empty() || worker.ended_unseen.is_some() {
+        if worker.runs.is_empty() || worker.presumed_ended.is_some() {
             return;
         }
         let text = format!(
             "lease of worker {} is over as counted here, with {} runs, last asked {} ms ago",
             worker.info.id,
             worker.runs.len(),
-            self.now.mono.since(worker.hold_sent)
+            self.now.mono.since(worker.renewal_sent)
         );
-        self.note("worker", None, text);
-        self.end_unseen(key, end);
+        self.log("worker", None, text);
+        self.presume_ended(key, end);
     }
 
     /// retire gives a worker up that left the list and does not answer, once
@@ -226,8 +227,8 @@
         let now = self.now.mono;
         let worker = self.worker(key);
         let gone = worker.unlisted_since.is_some() && worker.silent_since.is_some();
-        let unused = worker.life == Life::New && !worker.is_inherited();
-        let over = unused && now >= self.tenure.inherited_until || self.is_given_up(worker);
+        let unused = worker.presence == Presence::New && !worker.is_inherited();
+        let over = unused && now >= self.ownership.inherited_until || self.is_given_up(worker);
         let settled = worker.runs.is_empty() && self.has_stored_ends(worker);
         if gone && settled && over {
             self.give_up_worker(
@@ -237,11 +238,11 @@
         }
     }
 
-    /// strike_off takes a worker that has left off the roster: a later owner would
+    /// deregister takes a worker that has left off the roster: a later owner would
     /// wait for it to answer, and for longer than its lease if it never does.
-    fn strike_off(&mut self, key: WorkerKey) {
+    fn deregister(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
-        if worker.life == Life::Met && worker.rostered && self.has_left(worker) {
+        if worker.presence == Presence::Contacted && worker.rostered && self.has_left(worker) {
             self.worker_mut(key).rostered = false;
             self.saver.roster_changed = true;
         }
@@ -254,14 +255,14 @@
     pub(crate) fn has_left(&self, worker: &Worker) -> bool {
         let gone = |since: Millis| self.now.mono.since(since) >= self.options.unlisted_ms;
         let leaves = worker.info.draining || worker.unlisted_since.is_some_and(gone);
-        let listed_all = !worker.is_inherited() && !worker.has_unnoted_ends();
+        let listed_all = !worker.is_inherited() && !worker.has_unacked_ends();
         leaves && worker.runs.is_empty() && listed_all
     }
 
-    /// end_life notes that a worker's process is gone, and everything with it.
-    pub(crate) fn end_life(&mut self, key: WorkerKey, why: &str) {
+    /// end_incarnation notes that a worker's process is gone, and everything with it.
+    pub(crate) fn end_incarnation(&mut self, key: WorkerKey, why: &str) {
         let worker = self.worker_mut(key);
-        if worker.life == Life::Over {
+        if worker.presence == Presence::Gone {
             return;
         }
         // One that was taken down on purpose has not crashed.
@@ -269,14 +270,14 @@
             self.suspect_runs(key);
         }
         self.give_up_worker(key, why);
-        self.end_unseen(key, self.now.mono);
+        self.presume_ended(key, self.now.mono);
     }
 
     /// give_up_worker notes that nothing is expected of a worker any more.
     fn give_up_worker(&mut self, key: WorkerKey, why: &str) {
         let worker = self.worker_mut(key);
-        worker.life = Life::Over;
-        worker.ended_unseen = None;
+        worker.presence = Presence::Gone;
+        worker.presumed_ended = None;
         // If it shows again, it is in the roster before it gets starts.
         worker.rostered = false;
         let text = format!(
@@ -284,24 +285,24 @@
             worker.incarnation(),
             worker.runs.len()
         );
-        self.note("worker", None, text);
+        self.log("worker", None, text);
         self.saver.roster_changed = true;
         self.place_wanted = true;
     }
 
-    /// lives returns all lives of workers, also those that are over.
-    pub(crate) fn lives(&self) -> impl Iterator<Item = WorkerKey> + use<> {
+    /// incarnations returns all lives of workers, also those that are over.
+    pub(crate) fn incarnations(&self) -> impl Iterator<Item = WorkerKey> + use<> {
         (0..self.workers.len() as u32).map(WorkerKey)
     }
 
-    /// live returns the workers that are not known to be over.
-    pub(crate) fn live(&self) -> impl Iterator<Item = WorkerKey> + '_ {
-        let alive = |key: &WorkerKey| self.worker(*key).life != Life::Over;
-        self.lives().filter(alive)
+    /// live_workers returns the workers that are not known to be over.
+    pub(crate) fn live_workers(&self) -> impl Iterator<Item = WorkerKey> + '_ {
+        let alive = |key: &WorkerKey| self.worker(*key).presence != Presence::Gone;
+        self.incarnations().filter(alive)
     }
 
-    /// live_now returns the same as a list, for loops that change workers.
-    pub(crate) fn live_now(&self) -> Vec<WorkerKey> {
-        self.live().collect()
+    /// collect_live_workers returns the same as a list, for loops that change workers.
+    pub(crate) fn collect_live_workers(&self) -> Vec<WorkerKey> {
+        self.live_workers().collect()
     }
 }
--- a/crates/stackpier-cell/src/rotation.rs
+++ b/crates/stackpier-cell/src/rotation.rs
@@ -13,7 +13,7 @@
 use crate::{
     Cell, Mechanism,
     arena::{RunKey, StepKey, TaskKey, WorkerKey},
-    place::Need,
+    place::Demand,
 };
 
 /// TURN_MS is how long a task that lasts waits before it takes another one's place.
@@ -21,11 +21,11 @@
 /// ANY_MS is how long it waits before that may be any one: beside another image, or of its
 /// own step.
 const ANY_MS: u64 = 5_000;
-/// MOST_TURNS is how many waiting tasks are given a turn at a time.
-const MOST_TURNS: usize = 32;
-/// SETTLED_MS is how long a task that lasts has run at least before it is stopped for others:
+/// MAX_TURNS is how many waiting tasks are given a turn at a time.
+const MAX_TURNS: usize = 32;
+/// MIN_RUN_MS is how long a task that lasts has run at least before it is stopped for others:
 /// it was stopped before, perhaps.
-pub(crate) const SETTLED_MS: u64 = 6_000;
+pub(crate) const MIN_RUN_MS: u64 = 6_000;
 
 /// Waiting is a task that lasts and waits for room.
 #[derive(Clone, Copy, Debug)]
@@ -35,9 +35,9 @@
     waited_ms: u64,
 }
 
-/// Candidate is a run whose place a waiting task may take.
+/// Victim is a run whose place a waiting task may take.
 #[derive(Clone, Copy, Debug)]
-struct Candidate {
+struct Victim {
     run: RunKey,
     since: Millis,
 }
@@ -46,34 +46,34 @@
     /// check_rotation stops tasks that have run for longest in favour of those that have waited
     /// for longest.
     pub(crate) fn check_rotation(&mut self) {
-        if !self.has(Mechanism::Rotation) || !self.has_authority() || self.flow.is_full() {
+        if !self.is_enabled(Mechanism::Rotation) || !self.has_authority() || self.flow.is_full() {
             return;
         }
-        let waiting = self.waiting_lasting();
+        let waiting = self.waiting_long_running();
         if waiting.is_empty() {
             return;
         }
-        let mut candidates = self.rotation_candidates();
-        let mut without_turn: Vec<StepKey> = Vec::new();
+        let mut victims = self.rotation_victims();
+        let mut without_victim: Vec<StepKey> = Vec::new();
         for waiting in waiting {
-            let tried = without_turn.contains(&waiting.step);
-            if !tried && !self.rotate(waiting, &mut candidates) {
-                without_turn.push(waiting.step);
+            let tried = without_victim.contains(&waiting.step);
+            if !tried && !self.rotate(waiting, &mut victims) {
+                without_victim.push(waiting.step);
             }
         }
     }
 
-    /// waiting_lasting returns the tasks that last and wait for nothing but room, the longest
+    /// waiting_long_running returns the tasks that last and wait for nothing but room, the longest
     /// waiting first, without those that room is claimed for.
-    fn waiting_lasting(&self) -> Vec<Waiting> {
+    fn waiting_long_running(&self) -> Vec<Waiting> {
         let takes_turns = |step: &StepKey| {
-            let shape = self.shape(*step);
-            shape.lasting && !shape.fills && !shape.gang
+            let shape = self.step_spec(*step);
+            shape.long_running && !shape.best_effort && !shape.gang
         };
-        let lasting = self.queued().filter(takes_turns);
+        let long_running = self.queued().filter(takes_turns);
         let mut waiting = Vec::new();
-        for step in lasting {
-            let claims = self.claims_of(step);
+        for step in long_running {
+            let reservations = self.reservations_of(step);
             let ready = self.step_of(step).ready.iter();
             let ready = ready.filter(|task| self.may_start_now(**task));
             let waits = ready.map(|task| Waiting {
@@ -82,47 +82,47 @@
                 waited_ms: self.wait_ms(*task),
             });
             let due = waits.filter(|waiting| waiting.waited_ms >= TURN_MS);
-            waiting.extend(due.skip(claims));
+            waiting.extend(due.skip(reservations));
         }
         waiting.sort_by_key(|waiting| (Reverse(waiting.waited_ms), waiting.task));
-        waiting.truncate(MOST_TURNS);
+        waiting.truncate(MAX_TURNS);
         waiting
     }
 
-    /// rotation_candidates returns the runs that may be stopped by now, the longest running first.
-    fn rotation_candidates(&self) -> Vec<Candidate> {
+    /// rotation_victims returns the runs that may be stopped by now, the longest running first.
+    fn rotation_victims(&self) -> Vec<Victim> {
         let shared = |key: &WorkerKey| {
             let worker = self.worker(*key);
-            worker.dedicated.is_none() && worker.claim.is_none() && self.is_open(worker)
+            worker.dedicated.is_none() && worker.reservation.is_none() && self.is_available(worker)
         };
-        let runs = self.live().filter(shared);
-        let runs = runs.flat_map(|key| self.lasting_on(key));
-        let candidate = |key: RunKey| {
+        let runs = self.live_workers().filter(shared);
+        let runs = runs.flat_map(|key| self.long_running_on(key));
+        let victim = |key: RunKey| {
             let run = self.runs.get(key)?;
-            let alone = !run.fills && !self.shape(run.step).gang;
-            (alone && self.may_stop_lasting(key)).then_some(Candidate {
+            let alone = !run.best_effort && !self.step_spec(run.step).gang;
+            (alone && self.may_preempt_long_running(key)).then_some(Victim {
                 run: key,
                 since: run.since,
             })
         };
-        let mut candidates: Vec<Candidate> = runs.filter_map(candidate).collect();
-        candidates.sort_by_key(|candidate| candidate.since);
-        candidates
+        let mut victims: Vec<Victim> = runs.filter_map(victim).collect();
+        victims.sort_by_key(|victim| victim.since);
+        victims
     }
 
     /// rotate stops a run in favour of a waiting task, and tells whether one makes room for it.
-    fn rotate(&mut self, waiting: Waiting, candidates: &mut Vec<Candidate>) -> bool {
-        let Some(need) = self.need(waiting.step) else {
+    fn rotate(&mut self, waiting: Waiting, victims: &mut Vec<Victim>) -> bool {
+        let Some(demand) = self.demand(waiting.step) else {
             return false;
         };
-        let Some(found) = self.find_turn(&need, waiting.waited_ms, candidates) else {
-            return need.borrows && self.claim_soonest(&need);
+        let Some(found) = self.find_victim(&demand, waiting.waited_ms, victims) else {
+            return demand.uses_dedicated && self.reserve_soonest(&demand);
         };
-        let run = candidates.remove(found).run;
+        let run = victims.remove(found).run;
         let Some((task, worker)) = self.runs.get(run).map(|run| (run.task, run.worker)) else {
             return false;
         };
-        candidates.retain(|other| {
+        victims.retain(|other| {
             let other = self.runs.get(other.run);
             other.is_some_and(|other| other.worker != worker)
         });
@@ -132,30 +132,30 @@
             waiting.waited_ms
         );
         let name = self.name(task);
-        self.note("rotation", Some(name), text);
+        self.log("rotation", Some(name), text);
         self.stop(run);
-        self.claim(worker, &need);
+        self.reserve(worker, &demand);
         true
     }
 
-    /// find_turn returns the position of the candidate whose place a waiting task takes.
-    fn find_turn(&self, need: &Need, waited_ms: u64, candidates: &[Candidate]) -> Option<usize> {
-        let alike = |candidate: &Candidate| {
-            let run = self.runs.get(candidate.run);
-            run.is_some_and(|run| run.image == need.image && run.step != need.step)
+    /// find_victim returns the position of the candidate whose place a waiting task takes.
+    fn find_victim(&self, demand: &Demand, waited_ms: u64, victims: &[Victim]) -> Option<usize> {
+        let alike = |victim: &Victim| {
+            let run = self.runs.get(victim.run);
+            run.is_some_and(|run| run.image == demand.image && run.step != demand.step)
         };
-        let makes_room = |candidate: &Candidate| self.makes_room(need, candidate.run);
-        let best = candidates
+        let makes_room = |victim: &Victim| self.makes_room(demand, victim.run);
+        let best = victims
             .iter()
-            .position(|candidate| alike(candidate) && makes_room(candidate));
+            .position(|victim| alike(victim) && makes_room(victim));
         if best.is_some() || waited_ms < ANY_MS {
             return best;
         }
-        candidates.iter().position(makes_room)
+        victims.iter().position(makes_room)
     }
 
     /// makes_room tells whether a waiting task could start in the place of a run.
-    fn makes_room(&self, need: &Need, key: RunKey) -> bool {
+    fn makes_room(&self, demand: &Demand, key: RunKey) -> bool {
         let Some(run) = self.runs.get(key) else {
             return false;
         };
@@ -163,11 +163,11 @@
         let room = worker
             .info
             .capacity
-            .minus(&worker.reserved.minus(&run.counted()));
-        need.size.fits(&room)
-            && need.priority <= self.priority_of(run.step)
-            && need.is_near(worker)
-            && self.admit(need, run.worker).is_ok()
-            && self.can_miss(key)
+            .minus(&worker.allocated.minus(&run.guaranteed_size()));
+        demand.size.fits(&room)
+            && demand.priority <= self.priority_of(run.step)
+            && demand.is_near(worker)
+            && self.check_eligibility(demand, run.worker).is_ok()
+            && self.may_interrupt(key)
     }
 }
--- a/crates/stackpier-cell/src/run.rs
+++ b/crates/stackpier-cell/src/run.rs
@@ -55,17 +55,17 @@
     pub(crate) number: u32,
     pub(crate) phase: Phase,
     pub(crate) size: Size,
-    pub(crate) fills: bool,
-    pub(crate) lasting: bool,
+    pub(crate) best_effort: bool,
+    pub(crate) long_running: bool,
     pub(crate) serving: bool,
     pub(crate) image: ImageKey,
     pub(crate) since: Millis,
     /// When the worker confirmed the run.
     pub(crate) confirmed: Option<Millis>,
     /// Whether a report has shown it, which tells in which life of its worker it runs.
-    pub(crate) shown: bool,
+    pub(crate) reported: bool,
     /// Whether it is known not to crash its worker.
-    pub(crate) proved: bool,
+    pub(crate) cleared: bool,
     /// Whether its start goes to the store, until it is proved.
     pub(crate) recorded: bool,
     /// The save that must be done before the start is sent.
@@ -80,7 +80,7 @@
     pub(crate) saved: String,
     pub(crate) percent: u8,
     /// When the percent last changed.
-    pub(crate) moved: Millis,
+    pub(crate) progressed_at: Millis,
     /// The processor in use as last reported, in thousandths of a core.
     pub(crate) used_milli: Option<u32>,
     /// The load of a serving task, by its tail as last reported.
@@ -98,9 +98,9 @@
     /// Whether an earlier owner may have told it another pace.
     pub(crate) pace_unknown: bool,
     /// Whether the worker may not have taken the last order on its pace.
-    pub(crate) pace_missed: bool,
+    pub(crate) pace_unconfirmed: bool,
     /// When it was told a pace.
-    pub(crate) paced: Millis,
+    pub(crate) paced_at: Millis,
     /// Since when its pace has been low.
     pub(crate) slowed_since: Option<Millis>,
 }
@@ -138,7 +138,7 @@
     /// is_settled tells whether a report's figures are of the run's present
     /// pace.
     pub(crate) fn is_settled(&self, now: Millis) -> bool {
-        now.since(self.since.max(self.paced)) >= SETTLE_MS
+        now.since(self.since.max(self.paced_at)) >= SETTLE_MS
     }
 
     /// exceeds_pace tells whether a report shows clearly more processors in use than
@@ -150,9 +150,9 @@
         self.pace < 100 && self.is_settled(now) && self.used_milli.is_some_and(over)
     }
 
-    /// is_unclear tells whether it is not known if the run is there, so that reports
+    /// is_unconfirmed tells whether it is not known if the run is there, so that reports
     /// are wanted soon.
-    pub(crate) fn is_unclear(&self) -> bool {
+    pub(crate) fn is_unconfirmed(&self) -> bool {
         let stops = self.phase == Phase::Stopping && self.confirmed.is_none();
         stops || matches!(self.phase, Phase::Unsure(_))
     }
@@ -160,14 +160,14 @@
     /// is_recorded tells whether a successor is to know of the start: it may yet crash the
     /// worker.
     pub(crate) fn is_recorded(&self) -> bool {
-        self.recorded && !self.proved
+        self.recorded && !self.cleared
     }
 
-    /// counted returns what the run takes of a worker's room: the processors
+    /// guaranteed_size returns what the run takes of a worker's room: the processors
     /// of a filling run are not counted.
-    pub(crate) fn counted(&self) -> Size {
+    pub(crate) fn guaranteed_size(&self) -> Size {
         let mut size = self.size;
-        if self.fills {
+        if self.best_effort {
             size.milli_cores = 0;
         }
         size
--- a/crates/stackpier-cell/src/save.rs
+++ b/crates/stackpier-cell/src/save.rs
@@ -8,7 +8,7 @@
 use crate::{
     Cell, Effect, RosterEntry, Save,
     arena::{JobKey, RunKey, TaskKey, WorkerKey},
-    worker::{Life, Worker},
+    worker::{Presence, Worker},
 };
 
 /// FORGOTTEN_PER_SAVE bounds the jobs removed from the store in one save.
@@ -38,9 +38,9 @@
     /// Whether the last save failed.
     failed: bool,
     /// Runs whose start waits for a save.
-    pub held: Vec<RunKey>,
+    pub deferred: Vec<RunKey>,
     /// Workers with ends that are not noted.
-    pub unnoted: Vec<WorkerKey>,
+    pub unacked: Vec<WorkerKey>,
 }
 
 /// Sent is a job in a save, with its state as it is saved.
@@ -119,8 +119,8 @@
 }
 
 impl Cell {
-    /// dirty notes that a job's progress must be saved.
-    pub(crate) fn dirty(&mut self, key: JobKey) {
+    /// mark_dirty notes that a job's progress must be saved.
+    pub(crate) fn mark_dirty(&mut self, key: JobKey) {
         if !self.job(key).dirty {
             self.job_mut(key).dirty = true;
             self.saver.dirty.push(key);
@@ -135,7 +135,7 @@
         }
         let roster_sent = self.is_roster_due();
         if !roster_sent && self.saver.is_empty_beside_roster() {
-            self.note_all();
+            self.ack_all();
             return;
         }
         let keys = std::mem::take(&mut self.saver.dirty);
@@ -162,7 +162,7 @@
         let maintenance_sent = std::mem::take(&mut self.saver.maintenance_changed);
         let save = Save {
             jobs,
-            memory: self.memory_due(),
+            memory: self.snapshot_if_due(),
             roster: roster_sent.then(|| roster.iter().map(|key| self.entry(*key)).collect()),
             maintenance: maintenance_sent.then(|| self.maintenance_records()),
             trimmed: trimmed.iter().map(|key| self.job(*key).id).collect(),
@@ -212,8 +212,10 @@
     fn is_trimmable(&self, key: JobKey) -> bool {
         let job = self.job(key);
         let lease_ms = self.options.max_lease_ms + self.options.max_lease_ms / LEASE_MARGIN_PART;
-        let lapsed = |at: Millis| self.owned_after(at.plus(lease_ms));
-        if !self.owned_after(self.tenure.inherited_until) || !job.ended_at.is_some_and(lapsed) {
+        let lapsed = |at: Millis| self.is_confirmed_after(at.plus(lease_ms));
+        if !self.is_confirmed_after(self.ownership.inherited_until)
+            || !job.ended_at.is_some_and(lapsed)
+        {
             return false;
         }
         let mut tasks = (job.first_task.0..job.first_task.0 + job.tasks).map(TaskKey);
@@ -221,13 +223,13 @@
     }
 
     fn roster(&self) -> Vec<WorkerKey> {
-        let used = |worker: &Worker| match worker.life {
-            Life::Met => !self.has_left(worker),
-            Life::New => worker.is_inherited(),
-            Life::Over => false,
+        let used = |worker: &Worker| match worker.presence {
+            Presence::Contacted => !self.has_left(worker),
+            Presence::New => worker.is_inherited(),
+            Presence::Gone => false,
         };
         let known = |key: &WorkerKey| used(self.worker(*key));
-        self.live().filter(known).collect()
+        self.live_workers().filter(known).collect()
     }
 
     fn entry(&self, key: WorkerKey) -> RosterEntry {
@@ -270,7 +272,7 @@
         progress
     }
 
-    pub(crate) fn saved(&mut self, done: bool) {
+    pub(crate) fn handle_save_answer(&mut self, done: bool) {
         let now = self.now.mono;
         let Some(sent) = self.saver.in_flight.take() else {
             return;
@@ -278,30 +280,30 @@
         self.saver.failed = !done;
         if !done {
             self.resave(sent);
-            self.send_held();
+            self.send_deferred();
             return;
         }
         self.saver.done = self.saver.sent;
         self.saver.not_before = now.plus(self.options.save_gap_ms);
-        self.confirm_at(sent.sent_at);
+        self.record_confirmation(sent.sent_at);
         for Sent { job, state } in sent.jobs {
             self.job_mut(job).stored = state;
         }
         for key in sent.roster {
             let worker = self.worker_mut(key);
-            if !worker.rostered && worker.life == Life::Met {
+            if !worker.rostered && worker.presence == Presence::Contacted {
                 worker.rostered = true;
                 self.place_wanted = true;
             }
         }
-        self.note_all();
-        self.send_held();
+        self.ack_all();
+        self.send_deferred();
     }
 
     /// resave keeps what a failed save held for the next one.
     fn resave(&mut self, sent: InFlight) {
         for Sent { job, .. } in sent.jobs {
-            self.dirty(job);
+            self.mark_dirty(job);
         }
         self.saver.ended.extend(sent.trimmed);
         self.saver.forgotten.extend(sent.forgotten);
@@ -311,8 +313,8 @@
         // The ends it held wait for the next save.
         let next = self.saver.next();
         for worker in &mut self.workers {
-            if worker.has_unnoted_ends() {
-                worker.note_after_save = next;
+            if worker.has_unacked_ends() {
+                worker.ack_after_save = next;
             }
         }
     }
@@ -320,25 +322,25 @@
     /// has_stored_ends tells whether the store has all ends that a worker has listed. It may
     /// have to keep them still, where others are missing below them.
     pub(crate) fn has_stored_ends(&self, worker: &Worker) -> bool {
-        self.saver.is_idle() || worker.note_after_save <= self.saver.done
+        self.saver.is_idle() || worker.ack_after_save <= self.saver.done
     }
 
-    /// note_all lets workers forget the ends that are saved.
-    fn note_all(&mut self) {
-        if self.saver.unnoted.is_empty() {
+    /// ack_all lets workers forget the ends that are saved.
+    fn ack_all(&mut self) {
+        if self.saver.unacked.is_empty() {
             return;
         }
-        for key in std::mem::take(&mut self.saver.unnoted) {
+        for key in std::mem::take(&mut self.saver.unacked) {
             let stored = self.has_stored_ends(self.worker(key));
             let worker = self.worker_mut(key);
-            if !worker.has_unnoted_ends() {
+            if !worker.has_unacked_ends() {
                 continue;
             }
             if stored {
-                worker.noted = worker.taken.complete();
-                self.hold_soon(key);
+                worker.acked = worker.received.last_contiguous();
+                self.renew_with_wait(key);
             } else {
-                self.saver.unnoted.push(key);
+                self.saver.unacked.push(key);
             }
         }
     }
--- a/crates/stackpier-cell/src/short.rs
+++ b/crates/stackpier-cell/src/short_task_memory.rs
@@ -9,21 +9,21 @@
 /// SEEN_LIMIT is how many tasks the mean goes back: some minutes of a busy cell.
 const SEEN_LIMIT: f64 = 2_000.0;
 
-/// ShortMemory is the mean memory of short tasks, which goes with what was handed in
+/// ShortTaskMemory is the mean memory of short tasks, which goes with what was handed in
 /// lately.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ShortMemory {
+pub(crate) struct ShortTaskMemory {
     mean_mib: f64,
     seen: f64,
 }
 
-impl ShortMemory {
-    /// see takes in the short tasks of a job.
-    pub(crate) fn see(&mut self, spec: &Spec) {
+impl ShortTaskMemory {
+    /// record takes in the short tasks of a job.
+    pub(crate) fn record(&mut self, spec: &Spec) {
         let short = spec
             .steps
             .iter()
-            .filter(|step| !step.fills && !step.lasting);
+            .filter(|step| !step.best_effort && !step.long_running);
         for step in short {
             let tasks = f64::from(step.count);
             self.seen = (self.seen + tasks).min(SEEN_LIMIT);
--- a/crates/stackpier-cell/src/silence.rs
+++ b/crates/stackpier-cell/src/silence.rs
@@ -10,7 +10,7 @@
 use crate::{
     Cell,
     arena::WorkerKey,
-    worker::{Life, Worker},
+    worker::{Presence, Worker},
 };
 
 /// ANSWER_MS is how long a worker that can be reached may take to answer.
@@ -23,9 +23,9 @@
         let now = self.now.mono;
         let worker = self.worker(key);
         let is_near = |end: Millis| now.plus(ANSWER_MS) >= end;
-        let due = worker.final_hold.is_none() && self.silence_end(worker).is_some_and(is_near);
-        if due && self.send_hold(key, 0) {
-            self.worker_mut(key).final_hold = Some(now);
+        let due = worker.final_renewal.is_none() && self.silence_end(worker).is_some_and(is_near);
+        if due && self.send_renewal(key, 0) {
+            self.worker_mut(key).final_renewal = Some(now);
         }
     }
 
@@ -34,23 +34,23 @@
         let now = self.now.mono;
         let over = self.silence_end(worker).is_some_and(|end| now >= end);
         let unanswered = |sent: Millis| now >= sent.plus(ANSWER_MS);
-        over && worker.final_hold.is_some_and(unanswered)
+        over && worker.final_renewal.is_some_and(unanswered)
     }
 
     /// may_tell_of_earlier tells whether a silent worker may yet answer what an earlier owner
     /// has there.
     pub(crate) fn may_tell_of_earlier(&self, worker: &Worker) -> bool {
-        let unmet = worker.life == Life::New && worker.is_inherited();
-        unmet && worker.silent_since.is_some() && !self.is_given_up(worker)
+        let uncontacted = worker.presence == Presence::New && worker.is_inherited();
+        uncontacted && worker.silent_since.is_some() && !self.is_given_up(worker)
     }
 
     /// silence_end returns when the last lease on a silent worker is over.
     fn silence_end(&self, worker: &Worker) -> Option<Millis> {
         worker.silent_since?;
-        match worker.life {
-            Life::Met => worker.lease_end(),
-            Life::New if worker.is_inherited() => Some(self.tenure.inherited_until),
-            Life::New | Life::Over => None,
+        match worker.presence {
+            Presence::Contacted => worker.lease_end(),
+            Presence::New if worker.is_inherited() => Some(self.ownership.inherited_until),
+            Presence::New | Presence::Gone => None,
         }
     }
 }
--- a/crates/stackpier-cell/src/speculate.rs
+++ b/crates/stackpier-cell/src/speculate.rs
@@ -6,11 +6,11 @@
     Cell, Mechanism,
     arena::{RunKey, TaskKey},
     run::{Phase, Run},
-    takeover::CURRENT_MS,
+    takeover::MAX_CONFIRMATION_AGE_MS,
 };
 
-/// LEAST_LAG_MS is the least time by which a run lags before a copy starts.
-const LEAST_LAG_MS: u64 = 400;
+/// MIN_LAG_MS is the least time by which a run lags before a copy starts.
+const MIN_LAG_MS: u64 = 400;
 /// START_MS is how long a lasting task may take to be at work.
 const START_MS: u64 = 4_000;
 
@@ -44,25 +44,30 @@
             return;
         };
         let worker = self.worker(run.worker);
-        let estimate = u64::from(self.shape(run.step).estimate_ms);
+        let estimate = u64::from(self.step_spec(run.step).estimate_ms);
         // One percent of a long task takes long by itself.
         let limit = self.options.stall_ms + estimate / 10;
-        let limit = if run.lasting { START_MS } else { limit };
-        let heard = worker.is_heard();
-        let reported = worker.clock.map_or(run.moved, |clock| clock.at);
-        let still_ms = reported.since(run.moved);
-        let at_work = run.lasting && run.percent >= 100;
-        if !self.has(Mechanism::Stall) || !heard || at_work || run.pace < 100 || still_ms < limit {
+        let limit = if run.long_running { START_MS } else { limit };
+        let heard = worker.is_responsive();
+        let reported = worker.clock.map_or(run.progressed_at, |clock| clock.at);
+        let still_ms = reported.since(run.progressed_at);
+        let at_work = run.long_running && run.percent >= 100;
+        if !self.is_enabled(Mechanism::Stall)
+            || !heard
+            || at_work
+            || run.pace < 100
+            || still_ms < limit
+        {
             return;
         }
         let (worker, task) = (run.worker, run.task);
         if run.pace_unknown {
-            self.confirm_pace(key);
+            self.mark_pace_unconfirmed(key);
             return;
         }
         let text = format!("stopped: no progress at {}% for {still_ms} ms", run.percent);
-        self.note("stall", Some(self.name(task)), text);
-        self.worker_mut(worker).health.stall(now);
+        self.log("stall", Some(self.name(task)), text);
+        self.worker_mut(worker).health.record_stall(now);
         self.fail_on(task, worker);
         self.stop(key);
     }
@@ -79,22 +84,22 @@
 
     fn lagging(&self, key: RunKey) -> Option<TaskKey> {
         let run = self.runs.get(key)?;
-        let shape = self.shape(run.step);
+        let shape = self.step_spec(run.step);
         let task = self.task(run.task);
         let alone = task.runs.len() == 1 && !task.done && !task.ready;
         let goes_on = run.phase == Phase::Running && !self.job_of(run.task).state.is_final();
-        if !self.has(Mechanism::Copies)
+        if !self.is_enabled(Mechanism::Copies)
             || !shape.speculative
             || !alone
             || !goes_on
-            || shape.lasting
+            || shape.long_running
             || shape.gang
         {
             return None;
         }
         let estimate = u64::from(shape.estimate_ms);
         let limit = estimate * self.options.speculate_percent / 100;
-        let late = self.now.mono.since(run.since) > limit.max(estimate + LEAST_LAG_MS);
+        let late = self.now.mono.since(run.since) > limit.max(estimate + MIN_LAG_MS);
         let expected = self.now.mono.since(run.since) * 100 / estimate.max(1);
         let lags = u64::from(run.percent) * 2 < expected;
         (late && lags && self.is_current(run)).then_some(run.task)
@@ -105,18 +110,20 @@
     /// has just confirmed the ownership. What is not heard of would seem to lag.
     pub(crate) fn is_current(&self, run: &Run) -> bool {
         let answered = self.worker(run.worker).clock.map(|clock| clock.at);
-        let sign = answered.map_or(self.tenure.confirmed, |at| at.max(self.tenure.confirmed));
-        self.now.mono.since(sign) < CURRENT_MS
+        let sign = answered.map_or(self.ownership.confirmed, |at| {
+            at.max(self.ownership.confirmed)
+        });
+        self.now.mono.since(sign) < MAX_CONFIRMATION_AGE_MS
     }
 
     fn copy(&mut self, task: TaskKey) {
-        let need = self.need(self.task(task).step);
-        let worker = need.and_then(|need| self.find_room(task, &need));
+        let demand = self.demand(self.task(task).step);
+        let worker = demand.and_then(|demand| self.find_worker(task, &demand));
         let Some(worker) = worker else {
             return;
         };
         let name = self.name(task);
-        self.note(
+        self.log(
             "speculate",
             Some(name),
             "a copy starts: the first run lags".to_owned(),
--- a/crates/stackpier-cell/src/takeover.rs
+++ b/crates/stackpier-cell/src/takeover.rs
@@ -17,7 +17,7 @@
 use crate::{
     Cell, Effect, Options,
     arena::{JobKey, RunKey, TaskKey, WorkerKey},
-    worker::{CLOCK_ERROR_MILLI, Inheritance, Life, Worker},
+    worker::{CLOCK_ERROR_MILLI, Inheritance, Presence, Worker},
 };
 
 /// MARGIN_MS is added to the end of an earlier owner's leases, for the flight
@@ -26,17 +26,17 @@
 /// GAP_MS is the time between two confirmations from which the store counts as having been
 /// away: an idle owner asks each second, and an answer takes 0.6 s at most.
 const GAP_MS: u64 = 2_500;
-/// CURRENT_MS is how old the last sign may be that no later owner has noted the end of a
+/// MAX_CONFIRMATION_AGE_MS is how old the last sign may be that no later owner has noted the end of a
 /// run, for a start that relies on it. Users bear one within a second after that, and starts
 /// take up to 0.2 s on their way.
-pub(crate) const CURRENT_MS: u64 = 800;
+pub(crate) const MAX_CONFIRMATION_AGE_MS: u64 = 800;
 /// RUNS_PER_OWNER spaces the run numbers of successive owners, so that a new
 /// owner's numbers are above those it can't know.
 const RUNS_PER_OWNER: u64 = 200;
 
-/// Tenure is what an owner knows of its ownership, and of what an earlier owner left.
+/// Ownership is what an owner knows of its ownership, and of what an earlier owner left.
 #[derive(Debug)]
-pub(crate) struct Tenure {
+pub(crate) struct Ownership {
     /// When the ownership began.
     pub began: Millis,
     /// When the store last confirmed that this daemon owns the cell.
@@ -55,13 +55,13 @@
     /// Whether the earlier owner is being asked for what it could not save.
     pub awaits_handover: bool,
     /// Tasks of which a run was taken as ended by a silent worker's lease.
-    pub unseen: Vec<TaskKey>,
+    pub presumed_ended: Vec<TaskKey>,
 }
 
-impl Tenure {
+impl Ownership {
     /// new begins an ownership that the store has just confirmed.
-    pub(crate) fn new(now: Millis, inherited_until: Millis) -> Tenure {
-        Tenure {
+    pub(crate) fn new(now: Millis, inherited_until: Millis) -> Ownership {
+        Ownership {
             began: now,
             confirmed: now,
             store_since: now,
@@ -70,7 +70,7 @@
             inherited_until,
             roster_unknown: false,
             awaits_handover: false,
-            unseen: Vec::new(),
+            presumed_ended: Vec::new(),
         }
     }
 
@@ -101,9 +101,11 @@
         if !self.job(job).inherited {
             return true;
         }
-        let over = self.owned_after(self.tenure.inherited_until) && !self.awaits_earlier();
-        let current = self.is_confirmed_lately() || self.has_met_all() && !self.has_lost_unheard();
-        !self.tenure.awaits_handover && (over || self.has_met_all()) && current
+        let over =
+            self.is_confirmed_after(self.ownership.inherited_until) && !self.awaits_earlier();
+        let current =
+            self.is_confirmed_lately() || self.has_contacted_all() && !self.has_lost_unheard();
+        !self.ownership.awaits_handover && (over || self.has_contacted_all()) && current
     }
 
     /// awaits_earlier tells whether a silent worker may yet answer what an earlier owner has
@@ -116,46 +118,46 @@
     /// has_lost_unheard tells whether a worker died that this owner never heard. An earlier one
     /// may have heard it, and may tell a later owner.
     fn has_lost_unheard(&self) -> bool {
-        let unheard = |worker: &Worker| worker.life == Life::Over && worker.clock.is_none();
+        let unheard = |worker: &Worker| worker.presence == Presence::Gone && worker.clock.is_none();
         self.workers.iter().any(unheard)
     }
 
     /// may_have_ended tells whether a later owner may know by now that a task is done, of
     /// which this one heard no end.
     pub(crate) fn may_have_ended(&self, task: TaskKey) -> bool {
-        self.task(task).ended_unseen && !self.is_confirmed_lately()
+        self.task(task).presumed_ended && !self.is_confirmed_lately()
     }
 
     /// is_confirmed_lately tells whether no later owner can have heard a worker some time
     /// ago that did not answer this one.
     fn is_confirmed_lately(&self) -> bool {
-        self.now.mono.since(self.tenure.confirmed) < CURRENT_MS
+        self.now.mono.since(self.ownership.confirmed) < MAX_CONFIRMATION_AGE_MS
     }
 
     /// knows_roster tells whether the workers that an earlier owner may have used are known,
     /// as far as anything it leased there may go on.
     pub(crate) fn knows_roster(&self) -> bool {
-        !self.tenure.roster_unknown || self.owned_after(self.tenure.inherited_until)
+        !self.ownership.roster_unknown || self.is_confirmed_after(self.ownership.inherited_until)
     }
 
-    /// has_met_all tells whether all workers that an earlier owner may have
+    /// has_contacted_all tells whether all workers that an earlier owner may have
     /// used have answered or are dead. One that was given up may still answer a
     /// later owner.
-    pub(crate) fn has_met_all(&self) -> bool {
-        !self.tenure.roster_unknown && !self.workers.iter().any(Worker::is_inherited)
+    pub(crate) fn has_contacted_all(&self) -> bool {
+        !self.ownership.roster_unknown && !self.workers.iter().any(Worker::is_inherited)
     }
 
-    /// owned_after tells whether the store confirmed the ownership after a
+    /// is_confirmed_after tells whether the store confirmed the ownership after a
     /// time: until then no later owner did anything. Times are whole
     /// milliseconds, so it must have been asked in a later one.
-    pub(crate) fn owned_after(&self, time: Millis) -> bool {
-        self.tenure.confirmed > time
+    pub(crate) fn is_confirmed_after(&self, time: Millis) -> bool {
+        self.ownership.confirmed > time
     }
 
-    /// end_unseen takes what runs on a worker as ended by a time, though the
+    /// presume_ended takes what runs on a worker as ended by a time, though the
     /// worker did not say so.
-    pub(crate) fn end_unseen(&mut self, key: WorkerKey, time: Millis) {
-        self.worker_mut(key).ended_unseen = Some(time);
+    pub(crate) fn presume_ended(&mut self, key: WorkerKey, time: Millis) {
+        self.worker_mut(key).presumed_ended = Some(time);
         self.settle(key);
         self.check_confirmed();
     }
@@ -164,26 +166,26 @@
     /// as no later owner can prove that wrong.
     fn settle(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
-        let Some(time) = worker.ended_unseen else {
+        let Some(time) = worker.presumed_ended else {
             return;
         };
-        let owned = self.owned_after(time);
-        let dead = worker.life == Life::Over;
+        let owned = self.is_confirmed_after(time);
+        let dead = worker.presence == Presence::Gone;
         for run in worker.runs.clone() {
             // A dead worker runs nothing, whoever owns it. All that a later
             // owner can know better is that a task was done before, and one
             // that lasts starts again in any case.
-            let lasting = self.runs.get(run).is_some_and(|run| run.lasting);
-            if owned && !dead && !lasting {
-                self.end_task_unseen(run);
+            let long_running = self.runs.get(run).is_some_and(|run| run.long_running);
+            if owned && !dead && !long_running {
+                self.presume_task_ended(run);
             }
-            if owned || dead && lasting {
+            if owned || dead && long_running {
                 self.requeue(run);
             }
         }
         if owned {
             let worker = self.worker_mut(key);
-            worker.ended_unseen = None;
+            worker.presumed_ended = None;
             if dead {
                 worker.inheritance = Inheritance::None;
             }
@@ -191,20 +193,20 @@
         }
     }
 
-    /// end_task_unseen notes of a run's task that its worker may still tell of its end.
-    pub(crate) fn end_task_unseen(&mut self, run: RunKey) {
+    /// presume_task_ended notes of a run's task that its worker may still tell of its end.
+    pub(crate) fn presume_task_ended(&mut self, run: RunKey) {
         let Some(task) = self.runs.get(run).map(|run| run.task) else {
             return;
         };
-        if !self.task(task).ended_unseen {
-            self.task_mut(task).ended_unseen = true;
-            self.tenure.unseen.push(task);
+        if !self.task(task).presumed_ended {
+            self.task_mut(task).presumed_ended = true;
+            self.ownership.presumed_ended.push(task);
         }
     }
 
     /// settle_all does so for all workers.
     pub(crate) fn settle_all(&mut self) {
-        for key in self.lives() {
+        for key in self.incarnations() {
             self.settle(key);
         }
     }
@@ -212,46 +214,46 @@
     /// has_authority tells whether the store confirmed the ownership lately
     /// enough to give orders.
     pub(crate) fn has_authority(&self) -> bool {
-        self.now.mono.since(self.tenure.confirmed) < self.options.authority_ms
+        self.now.mono.since(self.ownership.confirmed) < self.options.authority_ms
     }
 
-    /// confirmed_at sets when the store was asked that last confirmed the
+    /// set_confirmed sets when the store was asked that last confirmed the
     /// ownership before the cell was read.
-    pub fn confirmed_at(&mut self, sent: Millis) {
-        self.tenure.confirmed = sent;
+    pub fn set_confirmed(&mut self, sent: Millis) {
+        self.ownership.confirmed = sent;
     }
 
-    pub(crate) fn confirm(&mut self, sent: Millis) {
-        self.tenure.confirming = false;
-        self.confirm_at(sent);
+    pub(crate) fn apply_confirmation(&mut self, sent: Millis) {
+        self.ownership.confirming = false;
+        self.record_confirmation(sent);
     }
 
-    /// confirm_at takes in that the store confirmed the ownership when asked at a time.
-    pub(crate) fn confirm_at(&mut self, sent: Millis) {
-        if !self.tenure.had_store_at(sent) {
-            self.tenure.store_since = self.now.mono;
+    /// record_confirmation takes in that the store confirmed the ownership when asked at a time.
+    pub(crate) fn record_confirmation(&mut self, sent: Millis) {
+        if !self.ownership.had_store_at(sent) {
+            self.ownership.store_since = self.now.mono;
         }
         self.place_wanted |= self.waits_for_store();
-        self.tenure.confirmed = self.tenure.confirmed.max(sent);
+        self.ownership.confirmed = self.ownership.confirmed.max(sent);
         self.settle_all();
     }
 
     /// has_store tells whether the store has confirmed the ownership without a gap until now.
     pub(crate) fn has_store(&self) -> bool {
-        self.tenure.had_store_at(self.now.mono)
+        self.ownership.had_store_at(self.now.mono)
     }
 
     /// store_silent_ms returns how long ago the store was asked that last confirmed the ownership.
     pub(crate) fn store_silent_ms(&self) -> u64 {
-        self.now.mono.since(self.tenure.confirmed)
+        self.now.mono.since(self.ownership.confirmed)
     }
 
     /// check_confirmed asks the store who owns the cell, if that is due.
     pub(crate) fn check_confirmed(&mut self) {
-        let idle = self.now.mono.since(self.tenure.confirmed) >= self.options.confirm_ms;
+        let idle = self.now.mono.since(self.ownership.confirmed) >= self.options.confirm_ms;
         let due = idle || self.waits_for_store();
-        if due && !self.tenure.confirming && !self.saver.is_busy() {
-            self.tenure.confirming = true;
+        if due && !self.ownership.confirming && !self.saver.is_busy() {
+            self.ownership.confirming = true;
             self.effects.push(Effect::Confirm);
         }
     }
@@ -260,16 +262,16 @@
     /// word.
     fn waits_for_store(&self) -> bool {
         let now = self.now.mono;
-        let over = now >= self.tenure.inherited_until;
-        let leases = over && !self.owned_after(self.tenure.inherited_until);
+        let over = now >= self.ownership.inherited_until;
+        let leases = over && !self.is_confirmed_after(self.ownership.inherited_until);
         let lost = self.has_lost_unheard() && self.waits_inherited();
-        let unheard = self.waits_unseen() || lost || over && !self.has_met_all();
+        let unheard = self.waits_presumed_ended() || lost || over && !self.has_contacted_all();
         leases
             || unheard && !self.is_confirmed_lately()
             || self
                 .workers
                 .iter()
-                .any(|worker| worker.ended_unseen.is_some())
+                .any(|worker| worker.presumed_ended.is_some())
     }
 
     /// waits_inherited tells whether a task of a job of an earlier owner waits to be placed.
@@ -278,26 +280,30 @@
             .any(|step| self.job(self.step_of(step).job).inherited)
     }
 
-    /// waits_unseen tells whether a task whose end was not seen waits to be placed.
-    fn waits_unseen(&self) -> bool {
-        self.tenure.unseen.iter().any(|task| self.task(*task).ready)
+    /// waits_presumed_ended tells whether a task whose end was not seen waits to be placed.
+    fn waits_presumed_ended(&self) -> bool {
+        self.ownership
+            .presumed_ended
+            .iter()
+            .any(|task| self.task(*task).ready)
     }
 
-    /// forget_unseen drops the tasks whose end was not seen once they are over.
-    pub(crate) fn forget_unseen(&mut self) {
-        let mut unseen = std::mem::take(&mut self.tenure.unseen);
-        unseen.retain(|task| !self.task(*task).done && !self.job_of(*task).state.is_final());
-        self.tenure.unseen = unseen;
+    /// prune_presumed_ended drops the tasks whose end was not seen once they are over.
+    pub(crate) fn prune_presumed_ended(&mut self) {
+        let mut presumed_ended = std::mem::take(&mut self.ownership.presumed_ended);
+        presumed_ended
+            .retain(|task| !self.task(*task).done && !self.job_of(*task).state.is_final());
+        self.ownership.presumed_ended = presumed_ended;
     }
 
     /// confirm_failed notes that the question to the store got no answer.
     pub fn confirm_failed(&mut self) {
-        self.tenure.confirming = false;
+        self.ownership.confirming = false;
     }
 
     /// depose notes that another daemon owns the cell.
     pub fn depose(&mut self) {
-        self.tenure.deposed = true;
+        self.ownership.deposed = true;
         self.effects.clear();
     }
 }
--- a/crates/stackpier-cell/src/late.rs
+++ b/crates/stackpier-cell/src/unanswered.rs
@@ -24,8 +24,8 @@
 }
 
 impl Cell {
-    /// note_unanswered keeps a start that got no answer.
-    pub(crate) fn note_unanswered(&mut self, key: RunKey) {
+    /// record_unanswered keeps a start that got no answer.
+    pub(crate) fn record_unanswered(&mut self, key: RunKey) {
         let Some(run) = self.runs.get(key) else {
             return;
         };
@@ -40,9 +40,9 @@
         kept.push(unanswered);
     }
 
-    /// bar_unanswered has a later life refuse the starts that got no answer of the earlier one
+    /// block_unanswered has a later life refuse the starts that got no answer of the earlier one
     /// and are over by now: it knows nothing of the orders to stop them.
-    pub(crate) fn bar_unanswered(&mut self, earlier: WorkerKey, later: WorkerKey) {
+    pub(crate) fn block_unanswered(&mut self, earlier: WorkerKey, later: WorkerKey) {
         let now = self.now.mono;
         let mut unanswered = std::mem::take(&mut self.worker_mut(earlier).unanswered);
         unanswered.retain(|unanswered| now < unanswered.until);
--- a/crates/stackpier-cell/src/worker.rs
+++ b/crates/stackpier-cell/src/worker.rs
@@ -4,8 +4,9 @@
 use stackpier_core::{Incarnation, Millis, Size, Unix};
 
 use crate::{
-    arena::RunKey, claim::Claim, crash::Isolation, dedicated::Dedication, health::Health,
-    late::Unanswered, outlook::Outlook, restart::Announced, run::Run, taken::Taken,
+    arena::RunKey, crash::Isolation, dedicated::Dedication, health::Health, prediction::Prediction,
+    received::Received, reservation::Reservation, restart::Announced, run::Run,
+    unanswered::Unanswered,
 };
 
 /// CLOCK_ERROR_MILLI is how much slower than true time a worker's clock may
@@ -42,15 +43,15 @@
     pub remaining_ms: Option<u64>,
 }
 
-/// Life tells whether a worker's process still lives.
+/// Presence tells whether a worker's process still lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Life {
+pub(crate) enum Presence {
     /// It has not yet answered this owner.
     New,
     /// It has answered this owner.
-    Met,
+    Contacted,
     /// It is over: nothing runs there.
-    Over,
+    Gone,
 }
 
 /// Inheritance is what an earlier owner may have left on a worker.
@@ -85,7 +86,7 @@
     pub announced: Option<Announced>,
     pub service: u16,
     pub rack: u16,
-    pub life: Life,
+    pub presence: Presence,
     /// Since when the list has not shown it.
     pub unlisted_since: Option<Millis>,
     /// Whether its entry can't be read: it gets no starts, and what runs there goes on.
@@ -96,59 +97,59 @@
     pub inheritance: Inheritance,
     /// When what ran there had ended, if nothing but silence told so and the
     /// store has not confirmed the ownership since.
-    pub ended_unseen: Option<Millis>,
+    pub presumed_ended: Option<Millis>,
     pub runs: Vec<RunKey>,
     /// Starts without an answer, which may still be on their way.
     pub unanswered: Vec<Unanswered>,
     /// Memory and accelerators of all runs, and the processors of those that
     /// are counted.
-    pub reserved: Size,
+    pub allocated: Size,
     /// The processors that lasting tasks have reserved, in thousandths.
-    pub lasting_milli: u32,
+    pub long_running_milli: u32,
     /// The processors that all other runs asked for, in thousandths.
     pub other_milli: u32,
     pub clock: Option<Clock>,
     /// The latest end of the lease that was ever sent, by its clock.
     pub deadline_ms: u64,
     /// Whether a hold is on its way.
-    pub holding: bool,
+    pub renewing: bool,
     /// When the latest hold was sent.
-    pub hold_sent: Millis,
+    pub renewal_sent: Millis,
     /// When the final hold was sent before its silence counts.
-    pub final_hold: Option<Millis>,
-    pub hold_after: Millis,
+    pub final_renewal: Option<Millis>,
+    pub renew_after: Millis,
     /// Since when it has not answered.
     pub silent_since: Option<Millis>,
     /// Ends that were taken in.
-    pub taken: Taken,
+    pub received: Received,
     /// The number up to which the worker may forget ends.
-    pub noted: u64,
+    pub acked: u64,
     /// When the last report of this life was asked for.
     pub reported: Millis,
     /// The number up to which it has answered to have forgotten them.
-    pub forgotten: u64,
+    pub ack_confirmed: u64,
     /// The number that the hold on its way tells it, zero for none.
-    pub telling: u64,
+    pub acking: u64,
     /// The save after which the ends taken in may be forgotten.
-    pub note_after_save: u64,
+    pub ack_after_save: u64,
     pub health: Health,
     /// The last start of a suspect there that was not proved harmless.
     pub isolation: Option<Isolation>,
     /// No starts before this time, as it said that it had no room.
     pub full_until: Millis,
     /// When a task last started here in spite of the bounds that protect others.
-    pub unbounded_at: Option<Millis>,
+    pub relaxed_start_at: Option<Millis>,
     pub drain_seen: Option<Millis>,
     /// Whether it gets no starts, as its host is to go down.
     pub closed: bool,
     /// Whether it is kept free of serving tasks, for what fills.
-    pub spared: bool,
+    pub evacuated: bool,
     /// Whether it is kept for short tasks.
     pub dedicated: Option<Dedication>,
     /// Room that is kept for a waiting step.
-    pub claim: Option<Claim>,
+    pub reservation: Option<Reservation>,
     /// What is expected of the serving tasks there.
-    pub outlooks: Vec<Outlook>,
+    pub predictions: Vec<Prediction>,
 }
 
 impl Worker {
@@ -169,10 +170,10 @@
         Some(clock.at.plus(longest))
     }
 
-    /// has_unnoted_ends tells whether the worker lists ends that it may not forget: the store
+    /// has_unacked_ends tells whether the worker lists ends that it may not forget: the store
     /// is not known to have them, or others are missing below.
-    pub(crate) fn has_unnoted_ends(&self) -> bool {
-        self.taken.is_above(self.noted)
+    pub(crate) fn has_unacked_ends(&self) -> bool {
+        self.received.has_above(self.acked)
     }
 
     /// is_inherited tells whether an earlier owner may have runs there, or ends, that this one
@@ -188,7 +189,7 @@
             Inheritance::Unseen => self.inheritance = Inheritance::Seen(now),
             // Times are whole milliseconds: it was asked for with the first one, or after it.
             Inheritance::Seen(first) if sent <= first => {}
-            Inheritance::Seen(_) if whole && !self.taken.has_gap() => {
+            Inheritance::Seen(_) if whole && !self.received.has_gap() => {
                 self.inheritance = Inheritance::None;
                 return false;
             }
@@ -197,9 +198,9 @@
         whole
     }
 
-    /// is_heard tells whether it answers, as far as this owner knows.
-    pub(crate) fn is_heard(&self) -> bool {
-        self.life != Life::Over && self.silent_since.is_none()
+    /// is_responsive tells whether it answers, as far as this owner knows.
+    pub(crate) fn is_responsive(&self) -> bool {
+        self.presence != Presence::Gone && self.silent_since.is_none()
     }
 
     /// lease returns the end of a lease that starts now, by the worker's
@@ -214,7 +215,7 @@
     /// add notes that a run holds room.
     pub(crate) fn add(&mut self, key: RunKey, run: &Run) {
         self.runs.push(key);
-        self.reserved += run.counted();
+        self.allocated += run.guaranteed_size();
         *self.milli(run) += run.size.milli_cores;
     }
 
@@ -222,7 +223,7 @@
     pub(crate) fn remove(&mut self, key: RunKey, run: &Run) {
         self.runs.retain(|other| *other != key);
         self.end_isolation(key);
-        self.reserved = self.reserved.minus(&run.counted());
+        self.allocated = self.allocated.minus(&run.guaranteed_size());
         let milli = self.milli(run);
         *milli = milli.saturating_sub(run.size.milli_cores);
     }
@@ -233,23 +234,23 @@
     }
 
     fn milli(&mut self, run: &Run) -> &mut u32 {
-        if run.lasting {
-            &mut self.lasting_milli
+        if run.long_running {
+            &mut self.long_running_milli
         } else {
             &mut self.other_milli
         }
     }
 
-    /// spare_milli returns the processors that are expected to be unused, in
+    /// expected_unused_milli returns the processors that are expected to be unused, in
     /// thousandths of a core, if lasting tasks use a share of what they
     /// reserved, in thousandths.
-    pub(crate) fn spare_milli(&self, use_milli: u32) -> i64 {
-        let lasting = i64::from(self.lasting_milli) * i64::from(use_milli) / 1_000;
-        i64::from(self.info.capacity.milli_cores) - lasting - i64::from(self.other_milli)
+    pub(crate) fn expected_unused_milli(&self, use_milli: u32) -> i64 {
+        let long_running = i64::from(self.long_running_milli) * i64::from(use_milli) / 1_000;
+        i64::from(self.info.capacity.milli_cores) - long_running - i64::from(self.other_milli)
     }
 
     /// free returns what is neither reserved nor in use.
     pub(crate) fn free(&self) -> Size {
-        self.info.capacity.minus(&self.reserved)
+        self.info.capacity.minus(&self.allocated)
     }
 }
--- a/crates/stackpier-cell/tests/common/carry.rs
+++ b/crates/stackpier-cell/tests/common/carry.rs
@@ -18,8 +18,8 @@
 
     pub(super) fn carry(&mut self, effect: Effect) {
         match effect {
-            Effect::Note(note) => self.notes.push(note.text),
-            Effect::Ask(ask) => self.advise(&ask),
+            Effect::Log(note) => self.notes.push(note.text),
+            Effect::RequestAdvice(ask) => self.advise(&ask),
             Effect::Confirm if self.store => {
                 let sent = Millis(self.now_ms);
                 self.answer(2, Event::Confirmed(sent));
@@ -29,7 +29,7 @@
             Effect::Start(start) => self.carry_start(start),
             Effect::Stop(stop) => self.carry_stop(&stop),
             Effect::Pace(pace) => self.carry_pace(&pace),
-            Effect::Hold(hold) => self.carry_hold(&hold),
+            Effect::Renew(hold) => self.carry_hold(&hold),
             Effect::TakeDown(order) => self.carry_down(order),
             Effect::Save(save) => {
                 self.saves.push(save);
@@ -97,7 +97,7 @@
         self.answer(1, Event::TakenDown(order, outcome));
     }
 
-    fn carry_hold(&mut self, hold: &Hold) {
+    fn carry_hold(&mut self, hold: &Renewal) {
         self.holds += 1;
         if self.holds_wait {
             self.wait(hold);
@@ -105,13 +105,13 @@
         }
         let outcome = self.outcome_of(hold);
         let after = match (&outcome, self.give_up_ms) {
-            (Held::Silent, Some(give_up_ms)) => give_up_ms,
+            (Renewed::Silent, Some(give_up_ms)) => give_up_ms,
             _ if hold.wait_ms > 0 => 20,
             _ => 1,
         };
         let sent = Millis(self.now_ms);
         let worker = hold.worker;
-        let event = Event::Held {
+        let event = Event::Renewed {
             worker,
             sent,
             outcome,
@@ -120,13 +120,13 @@
     }
 
     /// outcome_of returns what comes of a hold that is sent now.
-    fn outcome_of(&mut self, hold: &Hold) -> Held {
+    fn outcome_of(&mut self, hold: &Renewal) -> Renewed {
         let place = self.place(&hold.address);
         let left = self.lose_holds.entry(place).or_default();
         let lost = *left > 0;
         *left = left.saturating_sub(1);
         if self.cut[place] || lost {
-            return Held::Silent;
+            return Renewed::Silent;
         }
         self.workers[place].hold(self.now_ms, hold)
     }
@@ -142,7 +142,7 @@
     }
 
     /// advise answers for the adviser: workers with an even number are good.
-    fn advise(&mut self, ask: &Ask) {
+    fn advise(&mut self, ask: &AdviceRequest) {
         let good = ask
             .workers
             .iter()
@@ -162,7 +162,7 @@
         let shape = &self.specs[&task.job.0].steps[usize::from(task.step)];
         let mut size = shape.size;
         let mut fills_milli = 0;
-        if shape.fills {
+        if shape.best_effort {
             fills_milli = std::mem::take(&mut size.milli_cores);
         }
         let usual = Behaviour {
@@ -170,7 +170,7 @@
             size,
             fills_milli,
             saves: shape.checkpointing,
-            lasts: shape.lasting,
+            lasts: shape.long_running,
             ..Behaviour::default()
         };
         let given = self.behaviours.get(&(task.job.0, task.step));
--- a/crates/stackpier-cell/tests/common/mod.rs
+++ b/crates/stackpier-cell/tests/common/mod.rs
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use stackpier_cell::{
-    Advised, Ask, Cell, Effect, Event, Held, Hold, Info, Now, Options, Pace, Queue, Save, Start,
-    Started, Stop, Stopped, TaskName,
+    AdviceRequest, Advised, Cell, Effect, Event, Info, Now, Options, Pace, Queue, Renewal, Renewed,
+    Save, Start, Started, Stop, Stopped, TaskName,
     maintenance::{TakeDown, TakenDown},
 };
 use stackpier_core::{Millis, Size, Unix, key};
@@ -243,8 +243,8 @@
         self.submit_to(job, QUEUE, spec, 1, None);
     }
 
-    /// submit_lasting hands a job of one step in whose tasks last.
-    pub fn submit_lasting(&mut self, job: u64, shape: Step) {
+    /// submit_long_running hands a job of one step in whose tasks last.
+    pub fn submit_long_running(&mut self, job: u64, shape: Step) {
         let behaviour = Behaviour {
             size: shape.size,
             lasts: true,
@@ -252,7 +252,7 @@
         };
         self.behaviours.insert((job, 0), behaviour);
         let shape = Step {
-            lasting: true,
+            long_running: true,
             ..shape
         };
         self.submit(job, spec(vec![shape]));
--- a/crates/stackpier-cell/tests/common/waiting.rs
+++ b/crates/stackpier-cell/tests/common/waiting.rs
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Holds that wait at their worker for an end to list.
 
-use stackpier_cell::{Event, Held, Hold};
+use stackpier_cell::{Event, Renewal, Renewed};
 use stackpier_core::Millis;
 
 use super::Owner;
 
 /// Waiting is a hold that is not answered.
 pub struct Waiting {
-    hold: Hold,
+    hold: Renewal,
     sent: Millis,
     due_ms: u64,
 }
 
 impl Owner {
-    pub(super) fn wait(&mut self, hold: &Hold) {
+    pub(super) fn wait(&mut self, hold: &Renewal) {
         self.waiting.push(Waiting {
             hold: hold.clone(),
             sent: Millis(self.now_ms),
@@ -29,17 +29,17 @@
             let cut = self.cut[place];
             let worker = &mut self.workers[place];
             worker.advance(self.now_ms);
-            let noted = waiting.hold.noted;
+            let noted = waiting.hold.acked;
             let has_news = worker.ends.iter().any(|end| end.number > noted);
             if self.now_ms < waiting.due_ms && !has_news {
                 self.waiting.push(waiting);
                 continue;
             }
             let outcome = match cut {
-                true => Held::Silent,
+                true => Renewed::Silent,
                 false => worker.hold(self.now_ms, &waiting.hold),
             };
-            let event = Event::Held {
+            let event = Event::Renewed {
                 worker: waiting.hold.worker,
                 sent: waiting.sent,
                 outcome,
--- a/crates/stackpier-cell/tests/crashes.rs
+++ b/crates/stackpier-cell/tests/crashes.rs
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn a_lasting_task_that_crashes_workers_is_given_up() {
+fn a_long_running_task_that_crashes_workers_is_given_up() {
     let shape = Step {
-        lasting: true,
+        long_running: true,
         ..step(2)
     };
     let mut owner = crashing_owner(8, shape);
@@ -130,8 +130,8 @@
         owner.submit(job, spec(vec![step(1)]));
     }
     for job in 100..140 {
-        let lasting = Step {
-            lasting: job % 4 == 0,
+        let long_running = Step {
+            long_running: job % 4 == 0,
             size: stackpier_core::Size {
                 milli_cores: 200,
                 memory_mib: 100,
@@ -139,7 +139,7 @@
             },
             ..step(2)
         };
-        owner.submit(job, spec(vec![lasting]));
+        owner.submit(job, spec(vec![long_running]));
         owner.advance(300);
     }
     owner.advance(120_000);
@@ -182,12 +182,12 @@
 fn tasks_on_racks_that_crash_are_not_given_up() {
     let mut owner = Owner::new(8);
     for job in 1..=20 {
-        let lasting = Step {
-            lasting: job % 2 == 0,
+        let long_running = Step {
+            long_running: job % 2 == 0,
             estimate_ms: 2_000,
             ..step(2)
         };
-        owner.submit(job, spec(vec![lasting]));
+        owner.submit(job, spec(vec![long_running]));
     }
     for round in 0..5 {
         owner.advance(6_500);
@@ -213,7 +213,7 @@
 fn a_worker_that_falls_silent_just_before_another_did_not_crash_alone() {
     let mut owner = Owner::new(4);
     let everywhere = Step {
-        lasting: true,
+        long_running: true,
         most_per_worker: Some(1),
         ..step(4)
     };
--- a/crates/stackpier-cell/tests/dedicated.rs
+++ b/crates/stackpier-cell/tests/dedicated.rs
@@ -10,8 +10,8 @@
 use stackpier_cell::{Event, Mechanism, Options, Queue, TaskName};
 
 const WORKERS: usize = 10;
-/// LASTING fills all workers, two tasks on each, and WAITING has no room.
-const LASTING: u64 = 1;
+/// LONG_RUNNING fills all workers, two tasks on each, and WAITING has no room.
+const LONG_RUNNING: u64 = 1;
 const WAITING: u64 = 2;
 /// SHORT is the first of the short jobs.
 const SHORT: u64 = 100;
@@ -22,8 +22,8 @@
 /// JOBS_MS is the time between two short jobs.
 const JOBS_MS: u64 = 300;
 
-fn lasting(owner: &mut Owner, job: u64, count: u32) {
-    owner.submit_lasting(job, sized(4_000, count));
+fn long_running(owner: &mut Owner, job: u64, count: u32) {
+    owner.submit_long_running(job, sized(4_000, count));
 }
 
 /// full starts a cell whose workers are all taken by tasks that last.
@@ -39,9 +39,9 @@
         owner.feed(Event::Listed(common::info(place)));
     }
     owner.advance(100);
-    lasting(&mut owner, LASTING, 2 * WORKERS as u32);
+    long_running(&mut owner, LONG_RUNNING, 2 * WORKERS as u32);
     owner.advance(1_000);
-    lasting(&mut owner, WAITING, 4);
+    long_running(&mut owner, WAITING, 4);
     owner.advance(4_000);
     owner
 }
@@ -98,7 +98,11 @@
     }
     owner.advance(3_000);
     for place in used {
-        assert_eq!(lasting_tasks(&owner.workers[place]).count(), 2, "{place}");
+        assert_eq!(
+            long_running_tasks(&owner.workers[place]).count(),
+            2,
+            "{place}"
+        );
     }
 }
 
@@ -111,8 +115,8 @@
     owner.advance(3_000);
     press(&mut owner, 6, NARROW);
     let before = owner.starts.len();
-    let running: Vec<TaskName> = owner.workers.iter().flat_map(lasting_tasks).collect();
-    let mut away = (0..2 * WORKERS as u32).map(|index| common::name(LASTING, 0, index));
+    let running: Vec<TaskName> = owner.workers.iter().flat_map(long_running_tasks).collect();
+    let mut away = (0..2 * WORKERS as u32).map(|index| common::name(LONG_RUNNING, 0, index));
     let away: Vec<TaskName> = away
         .by_ref()
         .filter(|task| !running.contains(task))
@@ -146,7 +150,7 @@
     assert_eq!(owner.notes.iter().filter(dedicated).count(), 0);
 }
 
-fn lasting_tasks(worker: &stackpier_standin::fleet::Worker) -> impl Iterator<Item = TaskName> {
+fn long_running_tasks(worker: &stackpier_standin::fleet::Worker) -> impl Iterator<Item = TaskName> {
     let tasks = worker.runs.iter().map(|run| run.task);
     tasks.filter(|task| task.job.0 < SHORT)
 }
--- a/crates/stackpier-cell/tests/explain.rs
+++ b/crates/stackpier-cell/tests/explain.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{Owner, QUEUE, info, name, spec, step};
-use stackpier_cell::{Event, RosterEntry, explain::MOST_TASKS};
+use stackpier_cell::{Event, RosterEntry, explain::MAX_TASKS};
 use stackpier_core::key;
 use stackpier_state::{
     explain::{Cause, Job, Kept, Obstacle, Phase, Standing, Task, Wait},
@@ -61,9 +61,9 @@
 #[test]
 fn a_task_on_a_silent_worker_says_for_how_long() {
     let mut owner = Owner::new(1);
-    let mut lasting = step(1);
-    lasting.lasting = true;
-    owner.submit(1, spec(vec![lasting]));
+    let mut long_running = step(1);
+    long_running.long_running = true;
+    owner.submit(1, spec(vec![long_running]));
     owner.advance(300);
     owner.cut[0] = true;
     owner.advance(3_000);
@@ -131,9 +131,9 @@
     owner.submit(1, spec(vec![wide(count)]));
     owner.advance(300);
     let job = explain(&mut owner, 1);
-    assert_eq!(job.tasks.len(), MOST_TASKS);
+    assert_eq!(job.tasks.len(), MAX_TASKS);
     assert_eq!(job.open, count);
-    assert_eq!(job.left_out as usize, count as usize - MOST_TASKS);
+    assert_eq!(job.left_out as usize, count as usize - MAX_TASKS);
 }
 
 #[test]
--- a/crates/stackpier-cell/tests/faults.rs
+++ b/crates/stackpier-cell/tests/faults.rs
@@ -6,23 +6,25 @@
 
 use common::{Owner, QUEUE, info, name, spec, step};
 use rstest::rstest;
-use stackpier_cell::{Effect, End, Event, Held, How, Report, RosterEntry, Row, Started};
+use stackpier_cell::{
+    Effect, End, EndCause, Event, Renewed, Report, RosterEntry, RunStatus, Started,
+};
 use stackpier_core::{Millis, key};
 use stackpier_standin::fleet::{Behaviour, Worker};
 use stackpier_state::job::{Failures, Progress, State, Step};
 
-fn end(number: u64, run: u32, how: How) -> End {
+fn end(number: u64, run: u32, cause: EndCause) -> End {
     End {
         number,
         task: name(1, 0, 0),
         run,
-        how,
+        cause,
         checkpoint: String::new(),
     }
 }
 
-fn report(running: Vec<Row>, ended: Vec<End>) -> Held {
-    Held::Report(Report {
+fn report(running: Vec<RunStatus>, ended: Vec<End>) -> Renewed {
+    Renewed::Report(Report {
         started_at: None,
         clock_ms: 5_000,
         running,
@@ -34,7 +36,7 @@
 /// holds returns the workers of the holds among some effects.
 fn holds(effects: &[Effect]) -> Vec<stackpier_cell::WorkerKey> {
     let hold = |effect: &Effect| match effect {
-        Effect::Hold(hold) => Some(hold.worker),
+        Effect::Renew(hold) => Some(hold.worker),
         _ => None,
     };
     effects.iter().filter_map(hold).collect()
@@ -53,11 +55,11 @@
     for (place, run) in order.into_iter().enumerate() {
         let effects = owner.cell.step(now, Event::Listed(info(place)));
         let worker = holds(&effects)[0];
-        let outcome = report(Vec::new(), vec![end(1, run, How::Failed)]);
+        let outcome = report(Vec::new(), vec![end(1, run, EndCause::Failed)]);
         let sent = Millis(1);
         owner.cell.step(
             now,
-            Event::Held {
+            Event::Renewed {
                 worker,
                 sent,
                 outcome,
@@ -88,11 +90,11 @@
     let now = owner.now();
     let effects = owner.cell.step(now, Event::Listed(info(0)));
     let worker = holds(&effects)[0];
-    let outcome = report(Vec::new(), vec![end(1, 2, How::Failed)]);
+    let outcome = report(Vec::new(), vec![end(1, 2, EndCause::Failed)]);
     let sent = Millis(1);
     owner.cell.step(
         now,
-        Event::Held {
+        Event::Renewed {
             worker,
             sent,
             outcome,
@@ -126,7 +128,7 @@
     assert_ne!(confirmed.address, "address-1");
     owner.cell.step(
         now,
-        Event::Held {
+        Event::Renewed {
             worker: other,
             sent,
             outcome,
@@ -152,11 +154,11 @@
 #[test]
 fn tasks_of_a_silent_worker_start_elsewhere_once_its_lease_is_over() {
     let mut owner = Owner::new(2);
-    let lasting = Step {
-        lasting: true,
+    let long_running = Step {
+        long_running: true,
         ..step(1)
     };
-    owner.submit(1, spec(vec![lasting]));
+    owner.submit(1, spec(vec![long_running]));
     owner.advance(1_000);
     let place = owner.starts[0].1;
     owner.cut[place] = true;
@@ -195,11 +197,11 @@
 #[test]
 fn tasks_of_a_life_that_is_over_start_elsewhere_at_once() {
     let mut owner = Owner::new(2);
-    let lasting = Step {
-        lasting: true,
+    let long_running = Step {
+        long_running: true,
         ..step(1)
     };
-    owner.submit(1, spec(vec![lasting]));
+    owner.submit(1, spec(vec![long_running]));
     owner.advance(500);
     let place = owner.starts[0].1;
     let mut next = info(place);
@@ -257,7 +259,7 @@
     let now = later.now();
     let effects = later.cell.step(now, Event::Listed(info(0)));
     for effect in effects {
-        if let Effect::Hold(hold) = effect {
+        if let Effect::Renew(hold) = effect {
             owner.workers[0].hold(owner.now_ms, &hold);
         }
     }
@@ -418,8 +420,8 @@
 #[test]
 fn a_filling_task_that_waits_bars_no_other_of_its_image() {
     let mut owner = Owner::new(2);
-    let fills = |count| Step {
-        fills: true,
+    let best_effort = |count| Step {
+        best_effort: true,
         ..step(count)
     };
     let failing = stackpier_standin::fleet::Behaviour {
@@ -428,10 +430,10 @@
         ..stackpier_standin::fleet::Behaviour::default()
     };
     owner.behaviours.insert((1, 0), failing);
-    owner.submit(1, spec(vec![fills(1)]));
+    owner.submit(1, spec(vec![best_effort(1)]));
     owner.advance(200);
     let begun = owner.now_ms;
-    owner.submit(2, spec(vec![fills(1)]));
+    owner.submit(2, spec(vec![best_effort(1)]));
     while owner.places(2, 0).is_empty() && owner.now_ms < begun + 5_000 {
         owner.advance(10);
     }
--- a/crates/stackpier-cell/tests/flow.rs
+++ b/crates/stackpier-cell/tests/flow.rs
@@ -27,7 +27,7 @@
 fn owner() -> Owner {
     let options = Options {
         max_lease_ms: 6_000,
-        start_bytes: START_BYTES,
+        max_start_bytes: START_BYTES,
         ..Options::default()
     };
     let mut owner = Owner::with_options(WORKERS, 1, false, options);
--- a/crates/stackpier-cell/tests/handover.rs
+++ b/crates/stackpier-cell/tests/handover.rs
@@ -63,7 +63,7 @@
         0,
         "the earlier owner is still being asked"
     );
-    later.feed(Event::EarlierAsked(unsaved));
+    later.feed(Event::PredecessorAnswered(unsaved));
     later.advance(3_000);
     assert_eq!(later.places(JOB, 0).len(), 0);
     assert_eq!(later.places(JOB, 1).len(), TASKS as usize);
@@ -75,7 +75,7 @@
 fn without_an_answer_inherited_tasks_start() {
     let mut later = successor(vec![step(TASKS)], None);
     assert_eq!(later.starts.len(), 0);
-    later.feed(Event::EarlierAsked(Vec::new()));
+    later.feed(Event::PredecessorAnswered(Vec::new()));
     later.advance(100);
     assert_eq!(later.starts.len(), TASKS as usize);
 }
@@ -89,7 +89,7 @@
         ..step(TASKS)
     };
     let mut later = successor(vec![long], None);
-    later.feed(Event::EarlierAsked(Vec::new()));
+    later.feed(Event::PredecessorAnswered(Vec::new()));
     later.advance(300);
     let mut progress = Progress::default();
     (0..TASKS).for_each(|place| progress.set_done(place));
@@ -117,7 +117,7 @@
         ..Progress::default()
     };
     let unsaved = told(progress);
-    later.feed(Event::EarlierAsked(unsaved.clone()));
+    later.feed(Event::PredecessorAnswered(unsaved.clone()));
     later.feed(Event::HandedOver(unsaved));
     later.advance(300);
     assert_eq!(later.state(JOB), Some(state));
@@ -138,7 +138,7 @@
     };
     let mut later = successor(vec![shape], None);
     if begun {
-        later.feed(Event::EarlierAsked(Vec::new()));
+        later.feed(Event::PredecessorAnswered(Vec::new()));
         later.advance(100);
     }
     let checkpoint = Checkpoint {
@@ -151,7 +151,7 @@
     };
     let unsaved = told(progress);
     later.feed(Event::HandedOver(unsaved));
-    later.feed(Event::EarlierAsked(Vec::new()));
+    later.feed(Event::PredecessorAnswered(Vec::new()));
     later.advance(100);
     assert_eq!(later.starts_of(name(JOB, 0, 0)), 1);
     assert_eq!(later.starts[0].0.checkpoint.as_deref(), resumes);
@@ -167,7 +167,7 @@
         job: key::Job(job),
         progress: progress.clone(),
     });
-    later.feed(Event::EarlierAsked(unsaved.to_vec()));
+    later.feed(Event::PredecessorAnswered(unsaved.to_vec()));
     later.advance(300);
     assert_eq!(later.starts.len(), TASKS as usize);
     assert_eq!(later.state(JOB + 1), None);
--- a/crates/stackpier-cell/tests/interference.rs
+++ b/crates/stackpier-cell/tests/interference.rs
@@ -18,7 +18,7 @@
 /// serving returns a step of lasting tasks with a target of 20 ms.
 fn serving(count: u32) -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         target_ms: 20,
         image: "serving".to_owned(),
         ..step(count)
@@ -27,7 +27,7 @@
 
 fn filling(count: u32) -> Step {
     Step {
-        fills: true,
+        best_effort: true,
         checkpointing: true,
         image: "filling".to_owned(),
         estimate_ms: 8_000,
@@ -39,8 +39,8 @@
 /// first worker.
 fn fills_at_work(owner: &Owner) -> usize {
     let runs = owner.workers[0].runs.iter();
-    let fills = runs.filter(|run| run.task.job.0 == 2);
-    fills.filter(|run| run.is_working()).count()
+    let best_effort = runs.filter(|run| run.task.job.0 == 2);
+    best_effort.filter(|run| run.is_working()).count()
 }
 
 /// behaviour lets the tasks of a job serve with a tail latency.
@@ -253,8 +253,8 @@
     owner.submit(2, spec(vec![large]));
     owner.workers[0].set_tail(23);
     owner.advance(1_900);
-    let fills = owner.workers[0].runs.iter();
-    let paces: Vec<u8> = fills
+    let best_effort = owner.workers[0].runs.iter();
+    let paces: Vec<u8> = best_effort
         .filter(|run| run.task.job.0 == 2)
         .map(|run| run.pace)
         .collect();
@@ -277,7 +277,7 @@
     assert_eq!(memory.serving[0].image, "serving");
     assert_eq!(memory.serving[0].pairs[0].0, "filling");
     let mut later = Owner::new(1);
-    later.cell.remember(&memory);
+    later.cell.restore_model(&memory);
     later.submit(3, spec(vec![serving(1)]));
     later.advance(3_000);
     later.submit(4, spec(vec![step(1)]));
--- a/crates/stackpier-cell/tests/jobs.rs
+++ b/crates/stackpier-cell/tests/jobs.rs
@@ -174,10 +174,10 @@
 }
 
 #[test]
-fn a_lasting_task_is_started_again_however_it_ends() {
+fn a_long_running_task_is_started_again_however_it_ends() {
     let mut owner = Owner::new(2);
-    let lasting = Step {
-        lasting: true,
+    let long_running = Step {
+        long_running: true,
         ..step(1)
     };
     let failing = Behaviour {
@@ -186,7 +186,7 @@
         ..Behaviour::default()
     };
     owner.behaviours.insert((1, 0), failing);
-    owner.submit(1, spec(vec![lasting]));
+    owner.submit(1, spec(vec![long_running]));
     owner.advance(20_000);
     assert!(owner.starts.len() > 4, "{} starts", owner.starts.len());
     assert_eq!(
@@ -201,15 +201,15 @@
     let mut owner = Owner::new(1);
     let mut wide = step(1);
     wide.size.milli_cores = 8_000;
-    let lasting = Step {
-        lasting: true,
+    let long_running = Step {
+        long_running: true,
         ..wide
     };
     let filling = Step {
-        fills: true,
+        best_effort: true,
         ..step(2)
     };
-    owner.submit(1, spec(vec![lasting]));
+    owner.submit(1, spec(vec![long_running]));
     owner.advance(200);
     owner.submit(2, spec(vec![filling]));
     owner.advance(200);
--- a/crates/stackpier-cell/tests/large_short.rs
+++ b/crates/stackpier-cell/tests/large_short.rs
@@ -18,8 +18,8 @@
 /// TASKS is the number of tasks of each of them: ten jobs fill the cell, four tasks to a
 /// worker.
 const TASKS: u32 = 16;
-/// LASTING_MILLI is what each of these tasks asks for, in thousandths of a core.
-const LASTING_MILLI: u32 = 2_000;
+/// LONG_RUNNING_MILLI is what each of these tasks asks for, in thousandths of a core.
+const LONG_RUNNING_MILLI: u32 = 2_000;
 /// SHORT is the first of the short jobs.
 const SHORT: u64 = 100;
 /// JOBS is their number.
@@ -38,8 +38,8 @@
     }
 }
 
-fn lasting(owner: &mut Owner, job: u64) {
-    owner.submit_lasting(job, sized(LASTING_MILLI, TASKS));
+fn long_running(owner: &mut Owner, job: u64) {
+    owner.submit_long_running(job, sized(LONG_RUNNING_MILLI, TASKS));
 }
 
 /// full starts a cell whose workers are all taken by tasks that last, while more wait.
@@ -55,11 +55,11 @@
     }
     owner.advance(100);
     for job in 1..=SERVICES {
-        lasting(&mut owner, job);
+        long_running(&mut owner, job);
     }
     owner.advance(1_000);
     for job in SERVICES + 1..=SERVICES + WAITING {
-        lasting(&mut owner, job);
+        long_running(&mut owner, job);
     }
     owner.advance(4_000);
     owner
@@ -144,9 +144,9 @@
 /// A dedicated worker that is no choice for tasks that last is one for short tasks, be they
 /// smaller or larger than those.
 #[rstest]
-#[case::smaller(LASTING_MILLI / 2)]
-#[case::as_large(LASTING_MILLI)]
-#[case::larger(2 * LASTING_MILLI)]
+#[case::smaller(LONG_RUNNING_MILLI / 2)]
+#[case::as_large(LONG_RUNNING_MILLI)]
+#[case::larger(2 * LONG_RUNNING_MILLI)]
 fn short_tasks_of_any_size_start_on_dedicated_workers(#[case] milli_cores: u32) {
     let mut owner = full();
     owner.submit(SHORT, spec(vec![short(milli_cores, 10, 600)]));
--- a/crates/stackpier-cell/tests/listing.rs
+++ b/crates/stackpier-cell/tests/listing.rs
@@ -21,7 +21,9 @@
 mod common;
 
 use common::{Owner, QUEUE, info, name, spec, step};
-use stackpier_cell::{Effect, End, Event, Held, How, Report, RosterEntry, Started, WorkerKey};
+use stackpier_cell::{
+    Effect, End, EndCause, Event, Renewed, Report, RosterEntry, Started, WorkerKey,
+};
 use stackpier_core::Millis;
 use stackpier_standin::fleet::{
     Worker,
@@ -163,19 +165,19 @@
         number: *number,
         task: name(1, 0, *number as u32 % TASKS),
         run: 1,
-        how: How::Done,
+        cause: EndCause::Done,
         checkpoint: String::new(),
     };
     let sent = Millis(owner.now_ms);
     owner.now_ms += 1;
-    let outcome = Held::Report(Report {
+    let outcome = Renewed::Report(Report {
         started_at: None,
         clock_ms: owner.now_ms,
         running: Vec::new(),
         ended: numbers.iter().map(end).collect(),
         whole: true,
     });
-    let held = Event::Held {
+    let held = Event::Renewed {
         worker,
         sent,
         outcome,
@@ -189,7 +191,7 @@
         effects = step_with(owner, Event::Saved(true));
     }
     let noted = effects.iter().find_map(|effect| match effect {
-        Effect::Hold(hold) => Some(hold.noted),
+        Effect::Renew(hold) => Some(hold.acked),
         _ => None,
     });
     owner.now_ms += 1_000;
@@ -202,7 +204,7 @@
     owner.submit_to(1, QUEUE, spec(vec![step(TASKS)]), 1, None);
     let effects = owner.cell.step(owner.now(), Event::Listed(info(0)));
     let worker = effects.iter().find_map(|effect| match effect {
-        Effect::Hold(hold) => Some(hold.worker),
+        Effect::Renew(hold) => Some(hold.worker),
         _ => None,
     });
     (owner, worker.expect("it is asked for a report"))
@@ -226,7 +228,7 @@
         owner.now_ms -= 990;
         let told = owner.cell.step(owner.now(), Event::Tick);
         let noted = told.iter().find_map(|effect| match effect {
-            Effect::Hold(hold) => Some(hold.noted),
+            Effect::Renew(hold) => Some(hold.acked),
             _ => None,
         });
         assert!(noted.is_none_or(|noted| noted == 0), "{noted:?}");
@@ -268,8 +270,8 @@
     owner.cut = vec![true];
     assert_eq!(report(&mut owner, worker, &[57]), Some(0));
     let sent = Millis(owner.now_ms);
-    let outcome = Held::Silent;
-    owner.feed(Event::Held {
+    let outcome = Renewed::Silent;
+    owner.feed(Event::Renewed {
         worker,
         sent,
         outcome,
--- a/crates/stackpier-cell/tests/maintenance.rs
+++ b/crates/stackpier-cell/tests/maintenance.rs
@@ -23,9 +23,9 @@
     }
 }
 
-fn lasting(count: u32, may_miss: u32) -> Step {
+fn long_running(count: u32, may_miss: u32) -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         may_miss: Some(may_miss),
         most_per_worker: Some(2),
         ..step(count)
@@ -89,7 +89,7 @@
 #[test]
 fn no_more_tasks_of_a_step_are_away_than_it_may_miss() {
     let mut owner = Owner::new(4);
-    owner.submit(1, spec(vec![lasting(6, 1)]));
+    owner.submit(1, spec(vec![long_running(6, 1)]));
     owner.advance(2_000);
     assert_eq!(at_work(&owner, 1), 6);
     owner.feed(Event::Plan(plan(&[0, 1, 2, 3], 8_000, 4)));
@@ -107,7 +107,7 @@
 fn filling_tasks_are_stopped_and_resume_elsewhere() {
     let mut owner = Owner::new(2);
     let long = Step {
-        fills: true,
+        best_effort: true,
         checkpointing: true,
         estimate_ms: 6_000,
         ..step(2)
@@ -125,7 +125,7 @@
 #[test]
 fn a_host_that_is_emptied_gets_no_starts() {
     let mut owner = Owner::new(2);
-    owner.submit(1, spec(vec![lasting(1, 1)]));
+    owner.submit(1, spec(vec![long_running(1, 1)]));
     owner.advance(500);
     let place = owner.places(1, 0)[0];
     owner.down_answers = vec![TakenDown::Busy; 20];
@@ -259,7 +259,7 @@
 fn a_host_that_can_not_be_emptied_takes_tasks_again() {
     let mut owner = Owner::new(2);
     for (job, count, milli_cores) in [(1, 1, 8_000), (2, 2, 3_000)] {
-        let mut wide = lasting(count, 1);
+        let mut wide = long_running(count, 1);
         wide.size.milli_cores = milli_cores;
         let behaviour = Behaviour {
             size: wide.size,
@@ -302,7 +302,7 @@
     let mut owner = Owner::new(3);
     let one_each = Step {
         most_per_worker: Some(1),
-        ..lasting(2, 1)
+        ..long_running(2, 1)
     };
     owner.submit(1, spec(vec![one_each]));
     owner.advance(1_000);
--- a/crates/stackpier-cell/tests/rotation.rs
+++ b/crates/stackpier-cell/tests/rotation.rs
@@ -18,9 +18,9 @@
 /// AWAY_MS is for how long a task may be away.
 const AWAY_MS: u64 = 9_000;
 
-fn lasting(may_miss: Option<u32>) -> Step {
+fn long_running(may_miss: Option<u32>) -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         may_miss,
         size: Size {
             milli_cores: 6_000,
@@ -33,7 +33,7 @@
 
 fn last(owner: &mut Owner, job: u64, shape: Step) {
     let size = Size {
-        milli_cores: if shape.fills {
+        milli_cores: if shape.best_effort {
             0
         } else {
             shape.size.milli_cores
@@ -63,7 +63,7 @@
     owner.advance(100);
     let first = Step {
         count: WORKERS as u32,
-        ..lasting(may_miss)
+        ..long_running(may_miss)
     };
     last(&mut owner, FIRST, first);
     owner.advance(1_000);
@@ -84,7 +84,7 @@
     #[case] starts: usize,
 ) {
     let mut owner = full(Some(1), without);
-    last(&mut owner, SECOND, lasting(None));
+    last(&mut owner, SECOND, long_running(None));
     owner.advance(AWAY_MS);
     assert_eq!(owner.places(SECOND, 0).len(), starts);
 }
@@ -93,7 +93,7 @@
 #[rstest]
 fn no_task_is_away_for_long_while_all_take_turns() {
     let mut owner = full(Some(1), None);
-    last(&mut owner, SECOND, lasting(None));
+    last(&mut owner, SECOND, long_running(None));
     for _ in 0..6 {
         let before = owner.starts.len();
         owner.advance(AWAY_MS);
@@ -106,7 +106,7 @@
 #[rstest]
 fn a_step_that_can_miss_no_task_gives_no_place() {
     let mut owner = full(Some(0), None);
-    last(&mut owner, SECOND, lasting(None));
+    last(&mut owner, SECOND, long_running(None));
     owner.advance(3 * AWAY_MS);
     assert_eq!(owner.places(SECOND, 0).len(), 0);
     assert_eq!(turns(&owner), 0);
@@ -116,16 +116,16 @@
 #[rstest]
 fn nothing_is_stopped_for_tasks_that_last_and_fill() {
     let mut owner = full(Some(1), None);
-    let fills = Step {
-        fills: true,
+    let best_effort = Step {
+        best_effort: true,
         image: "fills".to_owned(),
         size: Size {
             memory_mib: 63_500,
-            ..lasting(None).size
+            ..long_running(None).size
         },
-        ..lasting(None)
+        ..long_running(None)
     };
-    last(&mut owner, SECOND, fills);
+    last(&mut owner, SECOND, best_effort);
     owner.advance(3 * AWAY_MS);
     assert_eq!(turns(&owner), 0);
 }
--- a/crates/stackpier-cell/tests/shares.rs
+++ b/crates/stackpier-cell/tests/shares.rs
@@ -36,7 +36,7 @@
     };
     owner.behaviours.insert((job, 0), behaviour);
     let shape = Step {
-        lasting: true,
+        long_running: true,
         ..shape
     };
     owner.submit_to(job, queue, spec(vec![shape]), 1, None);
--- a/crates/stackpier-cell/tests/short.rs
+++ b/crates/stackpier-cell/tests/short.rs
@@ -31,13 +31,13 @@
     let mut owner = Owner::new(1);
     owner.submit(SHORT, spec(vec![sized(short_mib)]));
     owner.advance(2_000);
-    let fills = Step {
-        fills: true,
+    let best_effort = Step {
+        best_effort: true,
         count: 2,
         image: "fills".to_owned(),
         ..sized(30_000)
     };
-    owner.submit(FILLING, spec(vec![fills]));
+    owner.submit(FILLING, spec(vec![best_effort]));
     owner.advance(300);
     owner.places(FILLING, 0).len()
 }
--- a/crates/stackpier-cell/tests/spare.rs
+++ b/crates/stackpier-cell/tests/spare.rs
@@ -7,7 +7,7 @@
 
 use common::{Owner, QUEUE, spec, step};
 use rstest::rstest;
-use stackpier_cell::{Event, Mechanism, Memory, Options, Serving, Term};
+use stackpier_cell::{Event, Mechanism, ModelSnapshot, Options, SavedEstimate, ServingImage};
 use stackpier_core::{Size, key};
 use stackpier_standin::fleet::Behaviour;
 use stackpier_state::job::Step;
@@ -17,18 +17,18 @@
 /// FILLING is the filling job: its tasks want more than a whole worker.
 const FILLING: u64 = 100;
 /// HARD is the load that one core of a heavy pair adds.
-const HARD: Term = Term {
+const HARD: SavedEstimate = SavedEstimate {
     mean: 0.3,
     variance: 0.000_001,
 };
 /// LIGHT is that of a light one.
-const LIGHT: Term = Term {
+const LIGHT: SavedEstimate = SavedEstimate {
     mean: 0.001,
     variance: 0.000_001,
 };
 /// UNSURE is that of one that has an effect for sure, by three deviations, but may well
 /// be lighter than what presses hard, 0.08.
-const UNSURE: Term = Term {
+const UNSURE: SavedEstimate = SavedEstimate {
     mean: 0.1,
     variance: 0.001,
 };
@@ -40,7 +40,7 @@
 
 fn serving(number: u64, may_miss: Option<u32>) -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         target_ms: 60,
         image: format!("serves-{number}"),
         may_miss,
@@ -55,13 +55,13 @@
 
 /// owner starts a cell whose owner knows the pairs: each image that serves is alone on
 /// its worker.
-fn owner(pair: Term, may_miss: Option<u32>, options: Options) -> Owner {
+fn owner(pair: SavedEstimate, may_miss: Option<u32>, options: Options) -> Owner {
     let mut owner = Owner::with_options(WORKERS as usize, 1, false, options);
-    let of = |number: u64| Serving {
+    let of = |number: u64| ServingImage {
         image: format!("serves-{number}"),
         pairs: vec![("fills".to_owned(), pair)],
     };
-    owner.cell.remember(&Memory {
+    owner.cell.restore_model(&ModelSnapshot {
         serving: (0..WORKERS).map(of).collect(),
         periods: Vec::new(),
     });
@@ -80,14 +80,14 @@
         owner.submit(number, spec(vec![serving(number, may_miss)]));
     }
     owner.advance(SETTLED_MS);
-    let fills = Step {
-        fills: true,
+    let best_effort = Step {
+        best_effort: true,
         image: "fills".to_owned(),
         estimate_ms: 4_000,
         checkpointing: true,
         ..step(24)
     };
-    owner.submit_to(FILLING, QUEUE, spec(vec![fills]), 1, None);
+    owner.submit_to(FILLING, QUEUE, spec(vec![best_effort]), 1, None);
     owner.advance(WAIT_MS);
     owner
 }
--- a/crates/stackpier-cell/tests/stalls.rs
+++ b/crates/stackpier-cell/tests/stalls.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_run_that_an_earlier_owner_paused_goes_on() {
     let filling = Step {
-        fills: true,
+        best_effort: true,
         estimate_ms: WORK_MS,
         ..step(1)
     };
--- a/crates/stackpier-cell/tests/starvation.rs
+++ b/crates/stackpier-cell/tests/starvation.rs
@@ -22,7 +22,7 @@
 mod common;
 
 use common::{Owner, info, queue, spec, step};
-use stackpier_cell::{Event, Memory, Options, Queue, Serving, Term};
+use stackpier_cell::{Event, ModelSnapshot, Options, Queue, SavedEstimate, ServingImage};
 use stackpier_core::{Size, key};
 use stackpier_standin::fleet::Behaviour;
 use stackpier_state::job::{State, Step};
@@ -30,14 +30,14 @@
 /// WAIT_MS is by when a job with room must have something running: users call it
 /// lost from three seconds on.
 const WAIT_MS: u64 = 3_000;
-/// LASTING and FILLING are the jobs of the tests.
-const LASTING: u64 = 1;
+/// LONG_RUNNING and FILLING are the jobs of the tests.
+const LONG_RUNNING: u64 = 1;
 const FILLING: u64 = 2;
 
-/// lasting returns a step of tasks that serve, with a target of 20 ms.
-fn lasting(count: u32, milli_cores: u32) -> Step {
+/// long_running returns a step of tasks that serve, with a target of 20 ms.
+fn long_running(count: u32, milli_cores: u32) -> Step {
     let mut step = Step {
-        lasting: true,
+        long_running: true,
         target_ms: 20,
         image: "serving".to_owned(),
         ..step(count)
@@ -49,7 +49,7 @@
 /// filling returns a step of tasks that fill, with a width in thousandths of a core.
 fn filling(count: u32, milli_cores: u32) -> Step {
     let mut step = Step {
-        fills: true,
+        best_effort: true,
         checkpointing: true,
         image: "filling".to_owned(),
         ..step(count)
@@ -66,20 +66,20 @@
         tail_ms: Some(tail_ms),
         ..Behaviour::default()
     };
-    owner.behaviours.insert((LASTING, 0), behaviour);
-    owner.submit(LASTING, spec(vec![step]));
+    owner.behaviours.insert((LONG_RUNNING, 0), behaviour);
+    owner.submit(LONG_RUNNING, spec(vec![step]));
     owner.advance(3_000);
 }
 
 /// presses tells the owner by how much filling images disturb the serving one.
 fn presses(owner: &mut Owner, filling: &[String], load_per_core: f32) {
-    let term = Term {
+    let term = SavedEstimate {
         mean: load_per_core,
         variance: 0.000_1,
     };
     let pairs = filling.iter().map(|image| (image.clone(), term));
-    owner.cell.remember(&Memory {
-        serving: vec![Serving {
+    owner.cell.restore_model(&ModelSnapshot {
+        serving: vec![ServingImage {
             image: "serving".to_owned(),
             pairs: pairs.collect(),
         }],
@@ -101,7 +101,7 @@
 fn a_wide_task_is_not_kept_from_all_workers_for_expected_harm() {
     let mut owner = Owner::new(4);
     presses(&mut owner, &["filling".to_owned()], 0.09);
-    serve(&mut owner, lasting(4, 5_000), 8);
+    serve(&mut owner, long_running(4, 5_000), 8);
     owner.submit(FILLING, spec(vec![filling(1, 6_000)]));
     owner.advance(WAIT_MS);
     assert_started(&mut owner);
@@ -110,7 +110,7 @@
 #[test]
 fn a_wide_task_of_images_never_seen_together_is_tried() {
     let mut owner = Owner::new(4);
-    serve(&mut owner, lasting(12, 2_500), 12);
+    serve(&mut owner, long_running(12, 2_500), 12);
     owner.submit(FILLING, spec(vec![filling(1, 5_500)]));
     owner.advance(WAIT_MS);
     assert_started(&mut owner);
@@ -120,7 +120,7 @@
 fn the_later_step_of_a_job_is_not_left_waiting() {
     let mut owner = Owner::new(4);
     presses(&mut owner, &["filling".to_owned()], 0.09);
-    serve(&mut owner, lasting(4, 5_000), 8);
+    serve(&mut owner, long_running(4, 5_000), 8);
     let second = Step {
         after: vec![0],
         ..filling(8, 6_500)
@@ -151,7 +151,7 @@
 #[test]
 fn a_task_as_wide_as_a_worker_is_not_kept_out_for_reserved_processors() {
     let mut owner = Owner::new(2);
-    serve(&mut owner, lasting(2, 6_000), 4);
+    serve(&mut owner, long_running(2, 6_000), 4);
     owner.submit(FILLING, spec(vec![filling(1, 8_000)]));
     owner.advance(WAIT_MS);
     assert_started(&mut owner);
@@ -166,7 +166,7 @@
     let mut owner = Owner::new(1);
     let images: Vec<String> = (0..STEPS).map(|kind| format!("filling-{kind}")).collect();
     presses(&mut owner, &images, 4.0);
-    serve(&mut owner, lasting(1, 1_000), 8);
+    serve(&mut owner, long_running(1, 1_000), 8);
     for (job, image) in (100..).zip(images) {
         let long = Step {
             image,
@@ -187,7 +187,7 @@
 fn a_wide_task_has_its_turn_on_a_service_that_stays_full() {
     let mut owner = Owner::new(1);
     presses(&mut owner, &["filling".to_owned()], 0.5);
-    serve(&mut owner, lasting(3, 2_500), 8);
+    serve(&mut owner, long_running(3, 2_500), 8);
     let calm = Step {
         image: "calm".to_owned(),
         estimate_ms: 100_000,
@@ -207,7 +207,7 @@
 #[test]
 fn a_paused_task_goes_on_when_the_serving_one_has_left() {
     let mut owner = Owner::new(1);
-    serve(&mut owner, lasting(1, 1_000), 60);
+    serve(&mut owner, long_running(1, 1_000), 60);
     let long = Step {
         checkpointing: false,
         estimate_ms: 4_000,
@@ -216,7 +216,7 @@
     owner.submit(FILLING, spec(vec![long]));
     owner.advance(6_000);
     assert!(has_started(&owner), "it was tried");
-    owner.feed(Event::Cancelled(key::Job(LASTING)));
+    owner.feed(Event::Cancelled(key::Job(LONG_RUNNING)));
     owner.advance(20_000);
     let why = owner.cell.explain(key::Job(FILLING));
     assert_eq!(owner.state(FILLING), Some(State::Completed), "{why:?}");
@@ -229,7 +229,7 @@
     let mut owner = Owner::with(2, 1, false);
     owner.feed(Event::Listed(info(0)));
     owner.advance(100);
-    serve(&mut owner, lasting(1, 2_500), 8);
+    serve(&mut owner, long_running(1, 2_500), 8);
     let long = Step {
         estimate_ms: 10_000,
         checkpointing: false,
@@ -250,7 +250,7 @@
 fn a_starving_task_of_an_advised_queue_has_its_turn() {
     let mut owner = Owner::new(4);
     presses(&mut owner, &["filling".to_owned()], 0.09);
-    serve(&mut owner, lasting(4, 5_000), 8);
+    serve(&mut owner, long_running(4, 5_000), 8);
     let advised = Queue {
         advised: true,
         ..queue("advised", 0)
@@ -267,7 +267,7 @@
 fn a_refused_start_does_not_begin_the_wait_again() {
     let mut owner = Owner::new(1);
     presses(&mut owner, &["filling".to_owned()], 0.5);
-    serve(&mut owner, lasting(3, 2_500), 8);
+    serve(&mut owner, long_running(3, 2_500), 8);
     let calm = Step {
         image: "calm".to_owned(),
         estimate_ms: 100_000,
@@ -293,12 +293,12 @@
 
 /// Each task that lasts has its own turn, also if it fills.
 #[test]
-fn each_lasting_task_that_fills_has_its_turn() {
+fn each_long_running_best_effort_task_has_its_turn() {
     let mut owner = Owner::new(2);
     presses(&mut owner, &["filling".to_owned()], 0.5);
-    serve(&mut owner, lasting(1, 5_000), 8);
+    serve(&mut owner, long_running(1, 5_000), 8);
     let mut both = Step {
-        lasting: true,
+        long_running: true,
         ..filling(2, 2_000)
     };
     both.size.memory_mib = 40_000;
@@ -323,7 +323,7 @@
 fn a_service_that_is_hardly_used_counts_as_free() {
     let mut owner = Owner::new(1);
     presses(&mut owner, &["filling".to_owned()], 0.5);
-    serve(&mut owner, lasting(2, 2_500), 8);
+    serve(&mut owner, long_running(2, 2_500), 8);
     let idle = Step {
         image: "calm".to_owned(),
         estimate_ms: 100_000,
@@ -352,8 +352,8 @@
 fn workers_that_leave_do_not_count_as_free() {
     let mut owner = Owner::new(3);
     presses(&mut owner, &["filling".to_owned()], 0.5);
-    serve(&mut owner, lasting(1, 8_000), 8);
-    let full = owner.places(LASTING, 0)[0];
+    serve(&mut owner, long_running(1, 8_000), 8);
+    let full = owner.places(LONG_RUNNING, 0)[0];
     for place in (0..3).filter(|place| *place != full) {
         let mut leaving = info(place);
         leaving.draining = true;
@@ -386,7 +386,7 @@
         owner.feed(Event::Listed(info(place)));
     }
     owner.advance(100);
-    serve(&mut owner, lasting(2, 5_000), 8);
+    serve(&mut owner, long_running(2, 5_000), 8);
     owner.submit(FILLING, spec(vec![filling(1, 1_000)]));
     owner.advance(30_000);
     assert!(!has_started(&owner), "{:?}", owner.places(FILLING, 0));
@@ -397,7 +397,7 @@
 fn starts_of_starving_steps_on_a_worker_are_spread_over_time() {
     let mut owner = Owner::new(1);
     presses(&mut owner, &["filling".to_owned()], 4.0);
-    serve(&mut owner, lasting(1, 1_000), 8);
+    serve(&mut owner, long_running(1, 1_000), 8);
     for job in 100..110 {
         owner.submit(job, spec(vec![filling(1, 150)]));
     }
@@ -416,9 +416,9 @@
 fn room_for_a_task_that_lasts_is_not_shared_out_among_narrow_ones() {
     const WAITING: u64 = 3;
     let mut owner = Owner::new(1);
-    for job in [LASTING, WAITING] {
+    for job in [LONG_RUNNING, WAITING] {
         let mut wide = Step {
-            lasting: true,
+            long_running: true,
             ..step(1)
         };
         wide.size.milli_cores = 6_000;
@@ -436,7 +436,7 @@
     for job in 100..102 {
         owner.submit(job, spec(vec![step(8)]));
     }
-    owner.feed(Event::Cancelled(key::Job(LASTING)));
+    owner.feed(Event::Cancelled(key::Job(LONG_RUNNING)));
     owner.advance(500);
     let why = owner.cell.explain(key::Job(WAITING));
     assert!(!owner.places(WAITING, 0).is_empty(), "{why:?}");
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -22,7 +22,7 @@
 
 use common::{Owner, QUEUE, info, name, queue, spec, step};
 use rstest::rstest;
-use stackpier_cell::{Cell, Event, How, Options, RosterEntry};
+use stackpier_cell::{Cell, EndCause, Event, Options, RosterEntry};
 use stackpier_core::Millis;
 use stackpier_standin::fleet::Worker;
 use stackpier_state::job::{Spec, State, Step};
@@ -39,9 +39,9 @@
 /// has its answer.
 const TICK_MS: u64 = 55;
 
-fn lasting() -> Step {
+fn long_running() -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         ..step(1)
     }
 }
@@ -86,7 +86,7 @@
 #[case::life(Silence::Life)]
 fn without_the_store_a_silence_starts_nothing(#[case] silence: Silence) {
     let shape = match silence {
-        Silence::Lease => lasting(),
+        Silence::Lease => long_running(),
         Silence::Life => step(1),
     };
     let mut earlier = Owner::new(2);
@@ -106,7 +106,10 @@
         }
         Silence::Life => {
             let noted = &later.workers[place].noted;
-            assert!(noted.iter().any(|end| end.how == How::Done), "{noted:?}");
+            assert!(
+                noted.iter().any(|end| end.cause == EndCause::Done),
+                "{noted:?}"
+            );
             next_life(&mut earlier, place);
             earlier.cut[place] = false;
             earlier.advance(500);
@@ -157,7 +160,7 @@
     owner.store = false;
     owner.now_ms = 10_000;
     owner.cell = Cell::new(Options::default(), 2, owner.now(), true);
-    owner.cell.confirmed_at(Millis(4_000));
+    owner.cell.set_confirmed(Millis(4_000));
     owner.feed(Event::Queues(vec![queue(QUEUE, 0)]));
     owner.cell.add_roster(&RosterEntry {
         id: "w0".to_owned(),
@@ -210,9 +213,9 @@
 /// A lasting task starts again however it ended, and a life that is over runs
 /// nothing, whoever owned it last.
 #[test]
-fn without_the_store_lasting_tasks_of_a_dead_worker_start_elsewhere() {
+fn without_the_store_long_running_tasks_of_a_dead_worker_start_elsewhere() {
     let mut owner = Owner::new(2);
-    owner.submit(1, spec(vec![lasting()]));
+    owner.submit(1, spec(vec![long_running()]));
     owner.advance(300);
     owner.store = false;
     let place = owner.starts[0].1;
@@ -259,7 +262,10 @@
     let mut later = successor(&earlier, place, shape);
     later.advance(2_500);
     let noted = &later.workers[place].noted;
-    assert!(noted.iter().any(|end| end.how == How::Done), "{noted:?}");
+    assert!(
+        noted.iter().any(|end| end.cause == EndCause::Done),
+        "{noted:?}"
+    );
     earlier.advance(4_500);
     assert_eq!(earlier.starts.len(), 1, "{:?}", earlier.starts[1..].first());
     // Nobody took over: with the store's word a copy may start.
@@ -319,7 +325,10 @@
     let worker = &mut owner.workers[place];
     worker.advance(owner.now_ms);
     let ends = &worker.ends;
-    assert!(ends.iter().any(|end| end.how == How::Done), "{ends:?}");
+    assert!(
+        ends.iter().any(|end| end.cause == EndCause::Done),
+        "{ends:?}"
+    );
 }
 
 /// check_fresh_word has a successor hear the end of a task on a worker, and then gives the
--- a/crates/stackpier-cell/tests/waiting.rs
+++ b/crates/stackpier-cell/tests/waiting.rs
@@ -6,7 +6,9 @@
 
 use common::{Owner, QUEUE, info, queue, spec, step};
 use rstest::rstest;
-use stackpier_cell::{Event, Mechanism, Memory, Options, Queue, Serving, Term};
+use stackpier_cell::{
+    Event, Mechanism, ModelSnapshot, Options, Queue, SavedEstimate, ServingImage,
+};
 use stackpier_core::{Size, key};
 use stackpier_standin::fleet::Behaviour;
 use stackpier_state::job::Step;
@@ -33,7 +35,7 @@
 
 fn filling(count: u32, milli_cores: u32, memory_mib: u32, image: &str) -> Step {
     Step {
-        fills: true,
+        best_effort: true,
         checkpointing: true,
         image: image.to_owned(),
         ..sized(count, milli_cores, memory_mib)
@@ -46,14 +48,14 @@
         work_ms: fails_ms.unwrap_or(0),
         fails: fails_ms.is_some(),
         size: Size {
-            milli_cores: if shape.fills {
+            milli_cores: if shape.best_effort {
                 0
             } else {
                 shape.size.milli_cores
             },
             ..shape.size
         },
-        fills_milli: if shape.fills {
+        fills_milli: if shape.best_effort {
             shape.size.milli_cores
         } else {
             0
@@ -64,7 +66,7 @@
     };
     owner.behaviours.insert((job, 0), behaviour);
     let shape = Step {
-        lasting: true,
+        long_running: true,
         ..shape
     };
     owner.submit(job, spec(vec![shape]));
@@ -81,14 +83,14 @@
 /// presses tells the owner by how much each filling image disturbs the serving one.
 fn presses(owner: &mut Owner, images: &[(String, f32)]) {
     let pair = |(image, mean): &(String, f32)| {
-        let term = Term {
+        let term = SavedEstimate {
             mean: *mean,
             variance: 0.000_1,
         };
         (image.clone(), term)
     };
-    owner.cell.remember(&Memory {
-        serving: vec![Serving {
+    owner.cell.restore_model(&ModelSnapshot {
+        serving: vec![ServingImage {
             image: "serving".to_owned(),
             pairs: images.iter().map(pair).collect(),
         }],
@@ -162,7 +164,7 @@
 /// share out what comes free.
 #[rstest]
 #[case::short(false)]
-#[case::lasting(true)]
+#[case::long_running(true)]
 fn a_wide_task_has_its_turn_beside_a_stream_of_narrow_ones(#[case] lasts: bool) {
     let mut owner = Owner::new(1);
     stream(&mut owner, &step(1), 100, 3_000);
--- a/crates/stackpier-fuzz/src/cell/oracle.rs
+++ b/crates/stackpier-fuzz/src/cell/oracle.rs
@@ -125,8 +125,8 @@
                 fence,
                 lapsed,
             };
-            match end.how {
-                stackpier_cell::How::Done => {
+            match end.cause {
+                stackpier_cell::EndCause::Done => {
                     if !lapsed && self.started_again.contains(&(end.task, end.run)) {
                         let what = format!("{} started again before its end was noted", end.task);
                         self.breaks(at_ms, what);
@@ -136,7 +136,7 @@
                         *earlier = noted;
                     }
                 }
-                stackpier_cell::How::Failed => {
+                stackpier_cell::EndCause::Failed => {
                     let runs = self.failed.entry(end.task).or_default();
                     runs.insert(end.run, noted);
                 }
@@ -148,10 +148,10 @@
     /// lose takes in what a worker listed when it died.
     pub fn lose(&mut self, worker: &Worker) {
         let ends = worker.ends.iter();
-        let done = ends.filter(|end| end.how == stackpier_cell::How::Done);
+        let done = ends.filter(|end| end.cause == stackpier_cell::EndCause::Done);
         self.ended.extend(done.map(|end| end.task));
         let failed = worker.ends.iter();
-        let failed = failed.filter(|end| end.how == stackpier_cell::How::Failed);
+        let failed = failed.filter(|end| end.cause == stackpier_cell::EndCause::Failed);
         let failed = failed.map(|end| (end.task, end.run));
         self.failed_unnoted.extend(failed);
     }
@@ -245,7 +245,8 @@
             self.breaks(at_ms, format!("{task} runs twice at once"));
         }
         let ends = workers.iter().flat_map(|worker| &worker.ends);
-        let done = ends.filter(|end| end.task == task && end.how == stackpier_cell::How::Done);
+        let done =
+            ends.filter(|end| end.task == task && end.cause == stackpier_cell::EndCause::Done);
         self.started_again
             .extend(done.map(|end| (end.task, end.run)));
     }
@@ -265,7 +266,7 @@
             };
             let ended = |name: &TaskName| {
                 let listed = workers.iter().flat_map(|worker| &worker.ends);
-                let mut listed = listed.filter(|end| end.how == stackpier_cell::How::Done);
+                let mut listed = listed.filter(|end| end.cause == stackpier_cell::EndCause::Done);
                 self.done.contains_key(name)
                     || self.ended.contains(name)
                     || listed.any(|end| end.task == *name)
@@ -331,7 +332,7 @@
             runs.extend(failed.keys().map(|run| (*task, *run)));
         }
         let listed = workers.iter().flat_map(|worker| &worker.ends);
-        let listed = listed.filter(|end| end.how == stackpier_cell::How::Failed);
+        let listed = listed.filter(|end| end.cause == stackpier_cell::EndCause::Failed);
         runs.extend(listed.map(|end| (end.task, end.run)));
         let mut counts: BTreeMap<TaskName, usize> = BTreeMap::new();
         for (task, _) in runs.into_iter().filter(|(task, _)| task.job == job) {
@@ -350,7 +351,7 @@
         let listed: BTreeSet<TaskName> = workers
             .iter()
             .flat_map(|worker| &worker.ends)
-            .filter(|end| end.how == stackpier_cell::How::Done)
+            .filter(|end| end.cause == stackpier_cell::EndCause::Done)
             .map(|end| end.task)
             .collect();
         let mut missing = None;
--- a/crates/stackpier-fuzz/src/cell/world.rs
+++ b/crates/stackpier-fuzz/src/cell/world.rs
@@ -340,7 +340,7 @@
         // Calls within a data centre take less than a millisecond.
         let delay = self.between(0, 4);
         match effect {
-            Effect::Note(_) | Effect::Ask(_) | Effect::TakeDown(_) => {}
+            Effect::Log(_) | Effect::RequestAdvice(_) | Effect::TakeDown(_) => {}
             Effect::Deposed => self.end_owner(place),
             Effect::Confirm => self.confirm(place, delay),
             Effect::Save(save) => self.send_save(place, save, delay),
--- a/crates/stackpier-fuzz/src/cell/world/calls.rs
+++ b/crates/stackpier-fuzz/src/cell/world/calls.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Calls to workers: sent, lost or late, carried out, and answered.
 
-use stackpier_cell::{Effect, Event, Held, Start, Started, Stopped};
+use stackpier_cell::{Effect, Event, Renewed, Start, Started, Stopped};
 use stackpier_core::Millis;
 use stackpier_standin::fleet::Worker;
 
@@ -22,7 +22,7 @@
     /// order sends an order on its way, or loses or delays it.
     pub(super) fn order(&mut self, place: usize, order: Effect, delay: u64) {
         let sent = self.now().mono;
-        let hold = matches!(order, Effect::Hold(_));
+        let hold = matches!(order, Effect::Renew(_));
         if self.chance(self.faults.lost) {
             self.count("lost call");
             self.silence(place, &order);
@@ -57,10 +57,10 @@
                 percent: pace.percent,
                 taken: false,
             },
-            Effect::Hold(hold) => Event::Held {
+            Effect::Renew(hold) => Event::Renewed {
                 worker: hold.worker,
                 sent: self.now().mono,
-                outcome: Held::Silent,
+                outcome: Renewed::Silent,
             },
             _ => return,
         };
@@ -112,12 +112,12 @@
                 percent: pace.percent,
                 taken: self.workers[target].pace(self.now_ms, pace),
             },
-            Effect::Hold(hold) => {
+            Effect::Renew(hold) => {
                 let outcome = self.workers[target].hold(self.now_ms, hold);
                 self.count_listing(target, &outcome);
                 self.oracle
                     .note(self.now_ms, &mut self.workers[target], hold.fence);
-                Event::Held {
+                Event::Renewed {
                     worker: hold.worker,
                     sent,
                     outcome,
@@ -134,7 +134,7 @@
             Effect::Start(start) => &start.order.address,
             Effect::Stop(stop) => &stop.order.address,
             Effect::Pace(pace) => &pace.order.address,
-            Effect::Hold(hold) => &hold.address,
+            Effect::Renew(hold) => &hold.address,
             _ => return None,
         };
         self.workers
--- a/crates/stackpier-fuzz/src/cell/world/handover.rs
+++ b/crates/stackpier-fuzz/src/cell/world/handover.rs
@@ -37,7 +37,7 @@
             true => self.extra_between(ANSWER_MS.0, ANSWER_MS.1),
             false => ASK_MS,
         };
-        let event = Event::EarlierAsked(unsaved);
+        let event = Event::PredecessorAnswered(unsaved);
         self.send(delay, Message::Event(later, Box::new(event)));
     }
 
--- a/crates/stackpier-fuzz/src/cell/world/jobs.rs
+++ b/crates/stackpier-fuzz/src/cell/world/jobs.rs
@@ -44,7 +44,7 @@
     }
 
     fn new_step(&mut self, number: u16) -> Step {
-        let fills = self.random.random_bool(0.5);
+        let best_effort = self.random.random_bool(0.5);
         let speculative = self.extra_random.random_range(0..1_000) < self.faults.copies;
         Step {
             count: self.between(1, 5) as u32,
@@ -60,7 +60,7 @@
                 Vec::new()
             },
             checkpointing: self.random.random_bool(0.5),
-            fills,
+            best_effort,
             most_per_worker: self.random.random_bool(0.3).then_some(2),
             image: format!("image-{}", self.between(0, 3)),
             speculative,
@@ -82,7 +82,7 @@
     fn new_behaviours(&mut self, step: &Step) -> Vec<Behaviour> {
         let mut size = step.size;
         let mut fills_milli = 0;
-        if step.fills {
+        if step.best_effort {
             fills_milli = std::mem::take(&mut size.milli_cores);
         }
         let behaviour = |fails, crashes| Behaviour {
--- a/crates/stackpier-fuzz/src/cell/world/listing.rs
+++ b/crates/stackpier-fuzz/src/cell/world/listing.rs
@@ -2,7 +2,7 @@
 //! How workers list their ends: the platform promises rising numbers, but no order of a list,
 //! not all ends in one list, and no moment that both lists of a report are of.
 
-use stackpier_cell::{End, Held};
+use stackpier_cell::{End, Renewed};
 use stackpier_standin::fleet::listing::{Listing, Order};
 
 use super::World;
@@ -28,8 +28,8 @@
 
     /// count_listing counts the reports that list ends in another way than by number and all
     /// at once.
-    pub(super) fn count_listing(&mut self, place: usize, outcome: &Held) {
-        let Held::Report(report) = outcome else {
+    pub(super) fn count_listing(&mut self, place: usize, outcome: &Renewed) {
+        let Renewed::Report(report) = outcome else {
             return;
         };
         let falls = |pair: &[End]| pair[0].number > pair[1].number;
--- a/crates/stackpier-fuzz/src/cell/world/series.rs
+++ b/crates/stackpier-fuzz/src/cell/world/series.rs
@@ -2,7 +2,7 @@
 //! Cuts of data centres, alone and in series, and what they lead to: two
 //! owners that each reach a part of the workers, one of them the store.
 
-use stackpier_cell::{Effect, Event, Held, Started, Stopped};
+use stackpier_cell::{Effect, Event, Renewed, Started, Stopped};
 
 use super::{DATA_CENTRES, Message, WORKERS, World};
 
@@ -99,15 +99,15 @@
     /// hear notes what an answer tells an owner of a worker's life.
     pub(super) fn hear(&mut self, owner: usize, order: &Effect, answer: &Event) {
         let life = match order {
-            Effect::Start(start) => &start.order.life,
-            Effect::Stop(stop) => &stop.order.life,
-            Effect::Hold(hold) => &hold.life,
+            Effect::Start(start) => &start.order.worker_id,
+            Effect::Stop(stop) => &stop.order.worker_id,
+            Effect::Renew(hold) => &hold.worker_id,
             _ => return,
         };
         let is_other = match answer {
             Event::Started { outcome, .. } => *outcome == Started::OtherLife,
             Event::Stopped { outcome, .. } => *outcome == Stopped::OtherLife,
-            Event::Held { outcome, .. } => matches!(outcome, Held::OtherLife),
+            Event::Renewed { outcome, .. } => matches!(outcome, Renewed::OtherLife),
             _ => false,
         };
         if is_other {
@@ -116,8 +116,8 @@
             }
         } else if matches!(
             answer,
-            Event::Held {
-                outcome: Held::Report(_),
+            Event::Renewed {
+                outcome: Renewed::Report(_),
                 ..
             }
         ) {
--- a/crates/stackpier-load/src/cell/job.rs
+++ b/crates/stackpier-load/src/cell/job.rs
@@ -94,7 +94,7 @@
         let shape = &self.drawn.spec.steps[place];
         let mut size = shape.size;
         let mut fills_milli = 0;
-        if shape.fills {
+        if shape.best_effort {
             fills_milli = std::mem::take(&mut size.milli_cores);
         }
         Behaviour {
@@ -102,7 +102,7 @@
             size,
             fills_milli,
             saves: shape.checkpointing,
-            lasts: shape.lasting,
+            lasts: shape.long_running,
             tail_ms: (self.kind.role == Role::Serving).then_some(0),
             ..Behaviour::default()
         }
--- a/crates/stackpier-load/src/cell/outcome.rs
+++ b/crates/stackpier-load/src/cell/outcome.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::Serialize;
-use stackpier_cell::{Event, Held};
+use stackpier_cell::{Event, Renewed};
 
 /// Told is what the owner is told by an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -24,11 +24,11 @@
 impl From<&Event> for Told {
     fn from(event: &Event) -> Told {
         match event {
-            Event::Held {
-                outcome: Held::Report(report),
+            Event::Renewed {
+                outcome: Renewed::Report(report),
                 ..
             } if report.ended.is_empty() => Told::Report,
-            Event::Held { .. } => Told::Ends,
+            Event::Renewed { .. } => Told::Ends,
             Event::Tick => Told::Tick,
             Event::Accepted { .. } | Event::Cancelled(_) => Told::Job,
             _ => Told::Other,
--- a/crates/stackpier-load/src/cell/site.rs
+++ b/crates/stackpier-load/src/cell/site.rs
@@ -168,10 +168,10 @@
             estimate_ms: (work_ms * (1.0 + off)).max(50.0) as u32,
             after: number.checked_sub(1).into_iter().collect(),
             checkpointing: self.role == Role::Filling,
-            lasting: lasts,
+            long_running: lasts,
             image: image_name(self, image),
             target_ms: if lasts { serving.target_ms() } else { 0 },
-            fills: self.role == Role::Filling,
+            best_effort: self.role == Role::Filling,
             may_miss: lasts.then_some(1),
             most_per_worker: random.random_bool(self.apart).then_some(1),
             ..Step::default()
--- a/crates/stackpier-load/src/cell/world.rs
+++ b/crates/stackpier-load/src/cell/world.rs
@@ -14,7 +14,9 @@
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use stackpier_cell::{Cell, Effect, Event, Info, Memory, Now, Options, Serving, Term};
+use stackpier_cell::{
+    Cell, Effect, Event, Info, ModelSnapshot, Now, Options, SavedEstimate, ServingImage,
+};
 use stackpier_core::{Millis, Unix};
 use stackpier_standin::fleet::{Worker, listing::Listing};
 
@@ -72,7 +74,7 @@
     /// A start reaches its worker long after it was given up.
     DeliverLate(Box<Effect>),
     /// A hold that waited is answered.
-    Answer(Box<stackpier_cell::Hold>, u64),
+    Answer(Box<stackpier_cell::Renewal>, u64),
     /// An event reaches the owner.
     Event(Box<Event>),
     /// A question to the store was not answered.
@@ -146,7 +148,7 @@
     fn begin(&mut self) {
         if self.day.known_pairs {
             let memory = self.known_pairs();
-            self.cell.remember(&memory);
+            self.cell.restore_model(&memory);
         }
         let queues = self.day.site.kinds.iter().map(|kind| kind.queue());
         self.feed(Event::Queues(queues.collect()));
@@ -161,22 +163,22 @@
     }
 
     /// known_pairs returns the truth of all pairs as an earlier owner's memory.
-    fn known_pairs(&self) -> Memory {
+    fn known_pairs(&self) -> ModelSnapshot {
         let of = |role: Role| self.day.site.kinds.iter().find(|kind| kind.role == role);
         let (Some(serving), Some(filling)) = (of(Role::Serving), of(Role::Filling)) else {
-            return Memory::default();
+            return ModelSnapshot::default();
         };
-        let term = |one: usize, other: usize| Term {
+        let term = |one: usize, other: usize| SavedEstimate {
             mean: self.truth.coefficient(one, other) as f32,
             variance: KNOWN_VARIANCE,
         };
-        let row = |one: usize| Serving {
+        let row = |one: usize| ServingImage {
             image: image_name(serving, one),
             pairs: (0..filling.images)
                 .map(|other| (image_name(filling, other), term(one, other)))
                 .collect(),
         };
-        Memory {
+        ModelSnapshot {
             serving: (0..serving.images).map(row).collect(),
             periods: Vec::new(),
         }
--- a/crates/stackpier-load/src/cell/world/calls.rs
+++ b/crates/stackpier-load/src/cell/world/calls.rs
@@ -2,7 +2,9 @@
 //! The owner's calls to workers and to the store, and their answers.
 
 use rand::RngExt;
-use stackpier_cell::{Effect, Event, Held, Hold, How, Start, Started, Stopped, TaskName};
+use stackpier_cell::{
+    Effect, EndCause, Event, Renewal, Renewed, Start, Started, Stopped, TaskName,
+};
 use stackpier_core::Millis;
 use stackpier_standin::fleet::{Run, Worker};
 
@@ -23,7 +25,7 @@
 impl World {
     pub(super) fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Note(_) | Effect::Ask(_) | Effect::TakeDown(_) | Effect::Deposed => {}
+            Effect::Log(_) | Effect::RequestAdvice(_) | Effect::TakeDown(_) | Effect::Deposed => {}
             Effect::Save(_) => {
                 let saved = !self.store_is_away();
                 let after = if saved { STORE_MS } else { GIVE_UP_MS };
@@ -64,7 +66,7 @@
                 };
                 self.answer(!taken, event);
             }
-            Effect::Hold(hold) => self.deliver_hold(hold),
+            Effect::Renew(hold) => self.deliver_hold(hold),
             _ => {}
         }
     }
@@ -117,14 +119,14 @@
         if self.random.random_bool(job.kind.fails) {
             behaviour.fail_after(self.random.random_range(0.0..=1.0));
         }
-        let fills = job.kind.role == Role::Filling;
+        let best_effort = job.kind.role == Role::Filling;
         let apart = !self.workers[place].runs.iter().any(serves);
         let outcome = self.workers[place].start(self.now_ms, start, behaviour);
         if outcome == Started::Yes {
             self.outcome.repeats += u64::from(self.is_done(task));
             self.outcome.starts += 1;
-            self.outcome.filled += u64::from(fills);
-            self.outcome.filled_apart += u64::from(fills && apart);
+            self.outcome.filled += u64::from(best_effort);
+            self.outcome.filled_apart += u64::from(best_effort && apart);
             self.note_begin(task);
         }
         outcome
@@ -134,28 +136,28 @@
     fn is_done(&self, task: TaskName) -> bool {
         let ends = |worker: &Worker| {
             let mut all = worker.ends.iter().chain(&worker.noted);
-            all.any(|end| end.task == task && end.how == How::Done)
+            all.any(|end| end.task == task && end.cause == EndCause::Done)
         };
         self.workers.iter().any(ends)
     }
 
     /// deliver_hold answers a hold at once, or when an end is due, or when its wait is
     /// over.
-    fn deliver_hold(&mut self, hold: Hold) {
+    fn deliver_hold(&mut self, hold: Renewal) {
         let place = place(&hold.address);
         let sent_ms = self.now_ms - FLIGHT_MS;
         if self.is_cut(place) {
-            let silent = Event::Held {
+            let silent = Event::Renewed {
                 worker: hold.worker,
                 sent: Millis(sent_ms),
-                outcome: Held::Silent,
+                outcome: Renewed::Silent,
             };
             self.answer(true, silent);
             return;
         }
         let worker = &mut self.workers[place];
         worker.advance(self.now_ms);
-        let unnoted = worker.ends.iter().any(|end| end.number > hold.noted);
+        let unnoted = worker.ends.iter().any(|end| end.number > hold.acked);
         let ends = worker.runs.iter().filter_map(Run::left_ms).min();
         let wait_ms = match unnoted {
             true => 0,
@@ -166,14 +168,14 @@
         self.send(wait_ms, Happening::Answer(Box::new(hold), sent_ms));
     }
 
-    pub(super) fn answer_hold(&mut self, hold: &Hold, sent_ms: u64) {
+    pub(super) fn answer_hold(&mut self, hold: &Renewal, sent_ms: u64) {
         let place = place(&hold.address);
         self.set_tails(place);
         let outcome = match self.is_cut(place) {
-            true => Held::Silent,
+            true => Renewed::Silent,
             false => self.workers[place].hold(self.now_ms, hold),
         };
-        let event = Event::Held {
+        let event = Event::Renewed {
             worker: hold.worker,
             sent: Millis(sent_ms),
             outcome,
--- a/crates/stackpier-scheduler/src/calls.rs
+++ b/crates/stackpier-scheduler/src/calls.rs
@@ -3,7 +3,7 @@
 //! counted, and its outcome fed to the cell.
 
 use stackpier_cell::{
-    Ask, Event, Held, Hold, Pace, Start, Started, Stop, Stopped,
+    AdviceRequest, Event, Pace, Renewal, Renewed, Start, Started, Stop, Stopped,
     maintenance::{TakeDown, TakenDown},
 };
 
@@ -17,7 +17,7 @@
         let text = format!(
             "run {} on worker {} under fence {fence} by {}: {outcome:?}",
             order.run,
-            order.life,
+            order.worker_id,
             helper.as_deref().unwrap_or("this daemon")
         );
         self.say_of("place", Some(order.task.to_string()), &text);
@@ -45,12 +45,12 @@
         self.feed(fence, event);
     }
 
-    pub(crate) async fn send_hold(self, fence: u64, hold: Hold) {
+    pub(crate) async fn send_hold(self, fence: u64, hold: Renewal) {
         let sent = self.mono();
         let outcome = self.hold_or_pass(&hold).await;
-        let answered = matches!(outcome, Held::Report(_));
+        let answered = matches!(outcome, Renewed::Report(_));
         self.count_worker("hold", answered);
-        let event = Event::Held {
+        let event = Event::Renewed {
             worker: hold.worker,
             sent,
             outcome,
@@ -64,7 +64,7 @@
         self.feed(fence, Event::TakenDown(order, outcome));
     }
 
-    pub(crate) async fn send_ask(self, fence: u64, ask: Ask) {
+    pub(crate) async fn send_ask(self, fence: u64, ask: AdviceRequest) {
         let answer = self.platform.advise(&ask).await;
         self.count_worker("advise", answer.is_some());
         self.feed(fence, Event::Advised(ask.step, answer));
--- a/crates/stackpier-scheduler/src/fleet.rs
+++ b/crates/stackpier-scheduler/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::future::Future;
 
 use stackpier_cell::{
-    Advised, Ask, Held, Hold, Pace, Start, Started, Stop, Stopped,
+    AdviceRequest, Advised, Pace, Renewal, Renewed, Start, Started, Stop, Stopped,
     maintenance::{TakeDown, TakenDown},
 };
 
@@ -20,13 +20,13 @@
     fn pace(&self, pace: &Pace) -> impl Future<Output = bool>;
 
     /// hold renews a lease and returns the worker's report.
-    fn hold(&self, hold: &Hold) -> impl Future<Output = Held>;
+    fn hold(&self, hold: &Renewal) -> impl Future<Output = Renewed>;
 }
 
 /// Adviser knows which workers may run a step.
 pub trait Adviser {
     /// advise returns the adviser's answer, or `None` if it gave none.
-    fn advise(&self, ask: &Ask) -> impl Future<Output = Option<Advised>>;
+    fn advise(&self, ask: &AdviceRequest) -> impl Future<Output = Option<Advised>>;
 }
 
 /// Hosts are what workers run on.
--- a/crates/stackpier-scheduler/src/handover.rs
+++ b/crates/stackpier-scheduler/src/handover.rs
@@ -104,6 +104,6 @@
                 Vec::new()
             }
         };
-        self.feed(fence, Event::EarlierAsked(unsaved));
+        self.feed(fence, Event::PredecessorAnswered(unsaved));
     }
 }
--- a/crates/stackpier-scheduler/src/loading.rs
+++ b/crates/stackpier-scheduler/src/loading.rs
@@ -4,7 +4,7 @@
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
 
 use serde::de::DeserializeOwned;
-use stackpier_cell::{Cell, Memory, RosterEntry, maintenance};
+use stackpier_cell::{Cell, ModelSnapshot, RosterEntry, maintenance};
 use stackpier_core::Result;
 use stackpier_protocol::codec::decode;
 
@@ -126,7 +126,7 @@
             cell.await_handover();
         }
         // Reading may have taken seconds, in which a later owner may have come.
-        cell.confirmed_at(self.owned_since(fence));
+        cell.set_confirmed(self.owned_since(fence));
         self.restore(&mut cell, &mut revisions, &loaded);
         let mut progress = HashMap::new();
         for item in &loaded.progress.items {
@@ -165,14 +165,14 @@
             revisions.set(ROSTER, item.revision);
             match self.readable::<Vec<RosterEntry>>(None, "the roster", &item.value) {
                 Some(entries) => self.restore_roster(cell, &entries),
-                None => cell.miss_roster(),
+                None => cell.set_roster_unknown(),
             }
         }
         if let Some(item) = &loaded.memory {
             revisions.set(MEMORY, item.revision);
-            let memory = self.readable::<Memory>(None, "what was learnt", &item.value);
+            let memory = self.readable::<ModelSnapshot>(None, "what was learnt", &item.value);
             if let Some(memory) = memory {
-                cell.remember(&memory);
+                cell.restore_model(&memory);
             }
         }
         if let Some(item) = &loaded.maintenance {
--- a/crates/stackpier-scheduler/src/owner.rs
+++ b/crates/stackpier-scheduler/src/owner.rs
@@ -5,7 +5,7 @@
 use std::{cell::RefCell, rc::Rc};
 
 use opentelemetry::KeyValue;
-use stackpier_cell::{Cell, Effect, Event, Note};
+use stackpier_cell::{Cell, Effect, Event, LogEntry};
 use stackpier_core::{Millis, key};
 use stackpier_state::job::State;
 
@@ -77,14 +77,14 @@
 
     fn carry_out(&self, fence: u64, effect: Effect) {
         match effect {
-            Effect::Note(note) => self.log_note(&note),
+            Effect::Log(note) => self.log_note(&note),
             Effect::Deposed => self.depose(fence + 1, "a worker or the store knows a later fence"),
             Effect::Start(start) => self.spawn(move |node| node.send_start(fence, start)),
             Effect::Stop(stop) => self.spawn(move |node| node.send_stop(fence, stop)),
             Effect::Pace(pace) => self.spawn(move |node| node.send_pace(fence, pace)),
-            Effect::Hold(hold) => self.spawn(move |node| node.send_hold(fence, hold)),
+            Effect::Renew(hold) => self.spawn(move |node| node.send_hold(fence, hold)),
             Effect::TakeDown(order) => self.spawn(move |node| node.send_down(fence, order)),
-            Effect::Ask(ask) => self.spawn(move |node| node.send_ask(fence, ask)),
+            Effect::RequestAdvice(ask) => self.spawn(move |node| node.send_ask(fence, ask)),
             Effect::Save(save) => self.spawn(move |node| async move {
                 let saved = node.save(fence, save).await;
                 node.feed(fence, Event::Saved(saved));
@@ -93,7 +93,7 @@
         }
     }
 
-    fn log_note(&self, note: &Note) {
+    fn log_note(&self, note: &LogEntry) {
         let part = KeyValue::new("part", note.part);
         self.metrics.decisions.add(1, &[part]);
         let subject = note.subject.map(|name| name.to_string());
--- a/crates/stackpier-scheduler/src/relay.rs
+++ b/crates/stackpier-scheduler/src/relay.rs
@@ -25,7 +25,7 @@
     time::Duration,
 };
 
-use stackpier_cell::{Held, Hold, Start, Started};
+use stackpier_cell::{Renewal, Renewed, Start, Started};
 use stackpier_core::{Millis, key};
 use tokio::{sync::oneshot, time::timeout};
 
@@ -244,7 +244,7 @@
     }
 
     /// hold_or_pass does the same for a hold.
-    pub(crate) async fn hold_or_pass(&self, hold: &Hold) -> Held {
+    pub(crate) async fn hold_or_pass(&self, hold: &Renewal) -> Renewed {
         let busy_ms = self.settings.costs.look_ms();
         let Some(helper) = self.helper(&hold.address, &hold.data_centre, busy_ms) else {
             return self.platform.hold(hold).await;
@@ -255,9 +255,9 @@
         });
         let held = match outcome.await {
             Some(Outcome::Held(held)) => held,
-            _ => Held::Silent,
+            _ => Renewed::Silent,
         };
-        let answered = !matches!(held, Held::Silent);
+        let answered = !matches!(held, Renewed::Silent);
         self.count_passed("hold", answered);
         if !answered {
             self.relays.avoid(&hold.address, self.mono());
--- a/crates/stackpier-scheduler/src/relay/batch.rs
+++ b/crates/stackpier-scheduler/src/relay/batch.rs
@@ -5,7 +5,7 @@
 use std::{collections::VecDeque, rc::Rc};
 
 use serde::{Deserialize, Serialize};
-use stackpier_cell::{self as cell, Held, Hold, Start, Started, TaskName, WorkerKey};
+use stackpier_cell::{self as cell, Renewal, Renewed, Start, Started, TaskName, WorkerKey};
 use stackpier_core::key;
 
 use super::recent::Recent;
@@ -77,7 +77,7 @@
     /// The start was not sent, as its job's payload is not known.
     NoPayload,
     /// The worker's answer to a look.
-    Held(Held),
+    Held(Renewed),
 }
 
 impl Batch {
@@ -105,7 +105,7 @@
         }
         let item = Order {
             address: start.order.address.clone(),
-            life: start.order.life.clone(),
+            life: start.order.worker_id.clone(),
             task: start.order.task,
             run: start.order.run,
             deadline_ms: start.deadline_ms,
@@ -116,13 +116,13 @@
     }
 
     /// add_look adds a look at a worker.
-    pub(super) fn add_look(&mut self, number: u64, hold: &Hold) {
+    pub(super) fn add_look(&mut self, number: u64, hold: &Renewal) {
         self.fence = hold.fence;
         let item = Look {
             address: hold.address.clone(),
-            life: hold.life.clone(),
+            life: hold.worker_id.clone(),
             deadline_ms: hold.deadline_ms,
-            noted: hold.noted,
+            noted: hold.acked,
             wait_ms: hold.wait_ms,
         };
         self.looks.push(Numbered { number, item });
@@ -162,7 +162,7 @@
     }
 
     /// take_looks returns the looks.
-    pub(super) fn take_looks(&mut self) -> Vec<Numbered<Hold>> {
+    pub(super) fn take_looks(&mut self) -> Vec<Numbered<Renewal>> {
         let fence = self.fence;
         let look = |Numbered { number, item }: Numbered<Look>| Numbered {
             number,
@@ -180,7 +180,7 @@
                 // Only the owner's arena knows the run.
                 key: Default::default(),
                 address: self.address,
-                life: self.life,
+                worker_id: self.life,
                 task: self.task,
                 run: self.run,
                 fence,
@@ -195,16 +195,16 @@
 }
 
 impl Look {
-    fn hold(self, fence: u64) -> Hold {
-        Hold {
+    fn hold(self, fence: u64) -> Renewal {
+        Renewal {
             // Only the owner's arena knows the worker.
             worker: WorkerKey::default(),
             data_centre: String::new(),
             address: self.address,
-            life: self.life,
+            worker_id: self.life,
             fence,
             deadline_ms: self.deadline_ms,
-            noted: self.noted,
+            acked: self.noted,
             wait_ms: self.wait_ms,
         }
     }
--- a/crates/stackpier-scheduler/src/relay/helper.rs
+++ b/crates/stackpier-scheduler/src/relay/helper.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use stackpier_cell::{Held, Hold, Start, Started};
+use stackpier_cell::{Renewal, Renewed, Start, Started};
 use tokio::time::timeout;
 
 use crate::{
@@ -57,7 +57,7 @@
         Outcome::Started(sent.unwrap_or(Started::Silent))
     }
 
-    async fn hold_for(&self, hold: &Hold) -> Held {
+    async fn hold_for(&self, hold: &Renewal) -> Renewed {
         self.platform.hold(hold).await
     }
 
--- a/crates/stackpier-scheduler/src/settings.rs
+++ b/crates/stackpier-scheduler/src/settings.rs
@@ -196,15 +196,15 @@
                 max_lease_ms: lease_ms,
                 authority_ms: lease_ms - AUTHORITY_GAP_MS.min(lease_ms / 2),
                 stop_ms: within("stop_ms", raw.stop_ms, 1..=LONGEST_MS, "ms")?,
-                turn_gap_ms: within("turn_gap_ms", raw.turn_gap_ms, 0..=LONGEST_MS, "ms")?
+                take_down_gap_ms: within("turn_gap_ms", raw.turn_gap_ms, 0..=LONGEST_MS, "ms")?
                     + TURN_MARGIN_MS,
                 early_ms: within("early_ms", raw.early_ms, 0..=LONGEST_MS, "ms")? / 4,
-                entry_ms: beat_ms * ENTRY_BEATS,
+                stale_entry_ms: beat_ms * ENTRY_BEATS,
                 show_ms: shown_s * 1_000 + defaults.lease_ms,
                 without: mechanisms(&raw.without)?,
                 ratings_per_ms: (cores * f64::from(stackpier_cell::RATINGS_PER_CORE)) as u32,
-                start_bytes: (link_mbps * BYTES_PER_MS * SENDING_MS) as u64,
-                starts: (cores * WORKING_MS / START_MS).ceil() as usize,
+                max_start_bytes: (link_mbps * BYTES_PER_MS * SENDING_MS) as u64,
+                max_starts: (cores * WORKING_MS / START_MS).ceil() as usize,
                 ..defaults
             },
             grace_ms: (grace_s * 1_000.0) as u64,
--- a/crates/stackpier-scheduler/tests/settings.rs
+++ b/crates/stackpier-scheduler/tests/settings.rs
@@ -62,9 +62,9 @@
 #[rstest]
 fn entries_are_waited_for_by_the_workers_heartbeat() {
     let usual = Settings::parse(text("1", "[]").as_bytes()).unwrap();
-    assert_eq!(usual.cell.entry_ms, 6_000);
+    assert_eq!(usual.cell.stale_entry_ms, 6_000);
     let slow = Settings::parse(with_beat("4000").as_bytes()).unwrap();
-    assert_eq!(slow.cell.entry_ms, 16_000);
+    assert_eq!(slow.cell.stale_entry_ms, 16_000);
 }
 
 #[rstest]
--- a/crates/stackpier-standin/src/fleet.rs
+++ b/crates/stackpier-standin/src/fleet.rs
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 
 use stackpier_cell::{
-    End, Held, Hold, How, Info, Pace, Report, Row, Start, Started, Stop, Stopped, TaskName,
+    End, EndCause, Info, Pace, Renewal, Renewed, Report, RunStatus, Start, Started, Stop, Stopped,
+    TaskName,
 };
 use stackpier_core::Size;
 
@@ -198,37 +199,37 @@
         }
         let lapsed = clock >= self.lease_end_ms;
         let grey = self.grey;
-        let over = |run: &Run| -> Option<How> {
+        let over = |run: &Run| -> Option<EndCause> {
             let behaviour = run.behaviour;
             let ends = !behaviour.lasts || behaviour.fails;
             let worked = run.worked_ms >= behaviour.work_ms && ends;
             let stopped = run.stops_at.is_some_and(|at| clock >= at);
             match () {
-                () if lapsed => Some(How::Lapsed),
-                () if stopped => Some(How::Stopped),
-                () if grey && run.worked_ms > 0 => Some(How::Failed),
-                () if worked && behaviour.fails => Some(How::Failed),
-                () if worked => Some(How::Done),
+                () if lapsed => Some(EndCause::Lapsed),
+                () if stopped => Some(EndCause::Stopped),
+                () if grey && run.worked_ms > 0 => Some(EndCause::Failed),
+                () if worked && behaviour.fails => Some(EndCause::Failed),
+                () if worked => Some(EndCause::Done),
                 () => None,
             }
         };
-        let ended: Vec<(usize, How)> = self
+        let ended: Vec<(usize, EndCause)> = self
             .runs
             .iter()
             .enumerate()
-            .filter_map(|(place, run)| over(run).map(|how| (place, how)))
+            .filter_map(|(place, run)| over(run).map(|cause| (place, cause)))
             .collect();
-        for (place, how) in ended.into_iter().rev() {
+        for (place, cause) in ended.into_iter().rev() {
             let run = self.runs.remove(place);
-            self.end(&run, how);
+            self.end(&run, cause);
         }
         if lapsed {
             self.lapsed_end = self.next_end - 1;
         }
     }
 
-    fn end(&mut self, run: &Run, how: How) {
-        let checkpoint = if how == How::Stopped || how == How::Lapsed {
+    fn end(&mut self, run: &Run, cause: EndCause) {
+        let checkpoint = if cause == EndCause::Stopped || cause == EndCause::Lapsed {
             run.saved()
         } else {
             String::new()
@@ -237,7 +238,7 @@
             number: self.next_end,
             task: run.task,
             run: run.number,
-            how,
+            cause,
             checkpoint,
         });
         self.next_end += 1;
@@ -263,7 +264,7 @@
     pub fn start(&mut self, now_ms: u64, start: &Start, behaviour: Behaviour) -> Started {
         self.advance(now_ms);
         let order = &start.order;
-        if order.life != self.info.id {
+        if order.worker_id != self.info.id {
             return Started::OtherLife;
         }
         if self.is_fenced(order.fence) {
@@ -311,7 +312,7 @@
     pub fn stop(&mut self, now_ms: u64, stop: &Stop) -> Stopped {
         self.advance(now_ms);
         let order = &stop.order;
-        if order.life != self.info.id {
+        if order.worker_id != self.info.id {
             return Stopped::OtherLife;
         }
         if self.is_fenced(order.fence) {
@@ -330,7 +331,7 @@
     pub fn pace(&mut self, now_ms: u64, pace: &Pace) -> bool {
         self.advance(now_ms);
         let order = &pace.order;
-        if order.life != self.info.id || self.is_fenced(order.fence) {
+        if order.worker_id != self.info.id || self.is_fenced(order.fence) {
             return false;
         }
         let there = |run: &&mut Run| run.task == order.task && run.number == order.run;
@@ -344,23 +345,23 @@
     }
 
     /// hold renews the lease and reports. It does not wait.
-    pub fn hold(&mut self, now_ms: u64, hold: &Hold) -> Held {
+    pub fn hold(&mut self, now_ms: u64, hold: &Renewal) -> Renewed {
         self.advance(now_ms);
-        if hold.life != self.info.id {
-            return Held::OtherLife;
+        if hold.worker_id != self.info.id {
+            return Renewed::OtherLife;
         }
         if self.is_fenced(hold.fence) {
-            return Held::Fenced;
+            return Renewed::Fenced;
         }
         if let Some(deadline_ms) = hold.deadline_ms {
             self.lease_end_ms = self.lease_end_ms.max(deadline_ms);
         }
-        let is_noted = |end: &End| end.number <= hold.noted;
+        let is_noted = |end: &End| end.number <= hold.acked;
         let (noted, ends) = self.ends.drain(..).partition(is_noted);
         self.ends = ends;
         self.noted.extend::<Vec<End>>(noted);
         let ended = self.listing.list(&self.ends);
-        Held::Report(Report {
+        Renewed::Report(Report {
             started_at: self.info.started_at,
             clock_ms: self.clock(now_ms),
             running: self.runs.iter().map(row).collect(),
@@ -370,10 +371,10 @@
     }
 }
 
-fn row(run: &Run) -> Row {
+fn row(run: &Run) -> RunStatus {
     let full = run.behaviour.size.milli_cores + run.behaviour.fills_milli;
     let used = full * u32::from(run.pace) / FULL as u32;
-    Row {
+    RunStatus {
         task: run.task,
         run: run.number,
         checkpoint: run.saved(),
--- a/crates/stackpier-state/src/job.rs
+++ b/crates/stackpier-state/src/job.rs
@@ -44,7 +44,8 @@
     /// Whether several copies of a task may run at once.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// What the tasks run. Tasks of one image behave alike.
     pub image: String,
     /// The latency that the tail of a serving task should stay below, in
@@ -52,7 +53,8 @@
     pub target_ms: u32,
     /// Whether the tasks use processors that others leave unused, and are not
     /// counted in a worker's reserved processors.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub best_effort: bool,
     /// How many tasks may be away at once by the scheduler's own orders.
     pub may_miss: Option<u32>,
 }
