--- a/crates/stackpier-cell/src/flow.rs
+++ b/crates/stackpier-cell/src/flow.rs
@@ -1,63 +1,64 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Flow control of starts: no more are on their way than the owner's VM sends in a short
-//! while, so that heartbeats, leases and stops never queue behind them.
+//! Flow control of starts: the starts that await answers are no more than the owner's VM sends
+//! in a short time, so that heartbeats, leases and stops never queue behind them.
 //!
-//! A start carries its job's payload, a kilobyte or more, and a wide step is hundreds of
-//! starts. On a link of 2 Mbit/s an owner that sent them all at once was silent for two
-//! seconds, lost the cell, and so did each successor: ten take-overs in fifteen seconds,
-//! and 0.14 of what was owed was served. Answers open the window again, so it also
-//! follows a processor or a network that is slower than the settings say.
+//! A start carries its job's payload, a kilobyte or more, and a wide step has hundreds of
+//! starts. On a link of 2 Mbit/s, an owner that sent them all at once was silent for two
+//! seconds and lost the cell, and so did each successor: there were ten take-overs in fifteen
+//! seconds, and only 0.14 of the requested work was served. Further starts wait for answers, so
+//! the rate also follows a processor or a network that is slower than the settings say.
 
 use std::collections::HashMap;
 
 use crate::{Options, arena::RunKey};
 
-/// HEAD_BYTES is what a start takes on the wire besides its payload: its head, its other
-/// fields and the headers of its packets, counted on the wire of a user's platform.
-const HEAD_BYTES: u64 = 450;
+/// OVERHEAD_BYTES is how many bytes a start takes on the wire besides its payload: its head, its
+/// other fields and the headers of its packets.
+const OVERHEAD_BYTES: u64 = 450;
 
-/// Flow counts the starts that are on their way.
+/// Flow counts the starts that await answers.
 #[derive(Debug)]
 pub(crate) struct Flow {
-    /// How many bytes may be on their way.
-    most_bytes: u64,
-    /// How many starts may be on their way.
-    most: usize,
+    /// The maximum number of bytes that may await answers.
+    max_bytes: u64,
+    /// The maximum number of starts that may await answers.
+    max_starts: usize,
     unanswered: HashMap<RunKey, u64>,
     bytes: u64,
     full: bool,
 }
 
 impl Flow {
-    /// new has nothing on its way.
+    /// new returns a flow without any starts.
     pub(crate) fn new(options: &Options) -> Flow {
         Flow {
-            most_bytes: options.max_start_bytes,
-            most: options.max_starts,
+            max_bytes: options.max_start_bytes,
+            max_starts: options.max_starts,
             unanswered: HashMap::new(),
             bytes: 0,
             full: false,
         }
     }
 
-    /// record_sent counts a start with a payload of some bytes.
+    /// record_sent records that a start with a payload of that many bytes was sent.
     pub(crate) fn record_sent(&mut self, run: RunKey, payload: usize) {
-        let bytes = payload as u64 + HEAD_BYTES;
+        let bytes = payload as u64 + OVERHEAD_BYTES;
         self.bytes += bytes;
         self.unanswered.insert(run, bytes);
-        self.full |= self.bytes >= self.most_bytes || self.unanswered.len() >= self.most;
+        self.full |= self.bytes >= self.max_bytes || self.unanswered.len() >= self.max_starts;
     }
 
-    /// record_answered notes that a start was answered or given up. Starts go on once half of
-    /// them are: placing looks at all workers for a step, and does so for many tasks then.
+    /// record_answered records that a start was answered or given up. Once the limit is
+    /// reached, further starts wait until half of it is free again: a placement attempt rates
+    /// all workers for a step, so it pays to place many tasks at a time.
     pub(crate) fn record_answered(&mut self, run: RunKey) {
         if let Some(bytes) = self.unanswered.remove(&run) {
             self.bytes -= bytes;
         }
-        self.full &= self.bytes > self.most_bytes / 2 || self.unanswered.len() > self.most / 2;
+        self.full &= self.bytes > self.max_bytes / 2 || self.unanswered.len() > self.max_starts / 2;
     }
 
-    /// is_full tells whether further starts have to wait.
+    /// is_full reports whether further starts have to wait.
     pub(crate) fn is_full(&self) -> bool {
         self.full
     }
--- a/crates/stackpier-cell/src/place.rs
+++ b/crates/stackpier-cell/src/place.rs
@@ -1,10 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Placement: which waiting task goes to which worker.
+//! Placement: assigns waiting tasks to workers.
 //!
-//! Tasks that count in a worker's room go first, by priority and slack; they
-//! are packed, so that whole workers stay free of serving tasks. Tasks that
-//! fill follow: each goes where the model expects the least harm to serving
-//! tasks, and waits where it would do too much.
+//! Guaranteed tasks go first, by priority and rank; they are packed, so that whole workers stay
+//! free of serving tasks. Best-effort tasks follow: each goes where the model expects the least
+//! harm to serving tasks, and waits while the expected harm is too high everywhere.
 
 mod best_effort;
 mod budget;
@@ -31,57 +30,59 @@
     pass::{BestEffortPass, GuaranteedPass},
 };
 
-/// BEST_EFFORT_GAP_MS is the least time between two looks at the filling tasks.
+/// BEST_EFFORT_GAP_MS is the shortest time between the starts of two passes over best-effort
+/// tasks.
 const BEST_EFFORT_GAP_MS: u64 = 40;
-/// MAX_TRIED is how many kinds of filling tasks may find no worker before a pass ends. The
-/// next one goes on with the kinds after them.
+/// MAX_TRIED is how many kinds of best-effort tasks may find no worker before a pass ends. The
+/// next pass continues with the kinds after them.
 const MAX_TRIED: usize = 40;
-/// LONG_RUNNING_FIRST_MS is how long a task that lasts waits until it goes before all others of
-/// its priority: users count it as lost from six seconds after its last run.
+/// LONG_RUNNING_FIRST_MS is how long a long-running task waits before it goes ahead of all
+/// others of its priority: users count it as lost from six seconds after its last run.
 const LONG_RUNNING_FIRST_MS: u64 = 3_000;
-/// TRUST_MS is how long a task that has only one failure left waits for a
-/// worker that lately did work, before it goes to one that has not failed; it
-/// waits as long again before it goes to any.
+/// TRUST_MS is how long a task that may fail only once more waits for a worker with a recent
+/// success, before it goes to one without recent faults. After twice this time it goes to any
+/// worker.
 const TRUST_MS: u64 = 1_500;
 
-/// Place is the place of a step in the order of placement.
+/// Position is the position of a step in the order of placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct Position {
     pub priority: u8,
     rank: Rank,
 }
 
-/// Rank is when a step's turn comes among those of its priority. Jobs with the fewest
-/// tasks left come first in it: more of them end while they are still of use. By their
-/// age, late jobs earned 0.008 of a day's worth less, the mean of fifty days.
+/// Rank orders the steps of one priority. Jobs with the fewest tasks left come first: more of
+/// them end while their results have value. Ordering late jobs by their age instead cost 0.008
+/// of the goodput.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Rank {
-    /// Tasks that last and have waited; since when the first of them has. Room for one is
-    /// rare where most is taken: it comes where another one ends, and narrow tasks would
-    /// share it out.
+    /// Long-running tasks that have waited; since when the first of them has. On a nearly full
+    /// cell, capacity for one comes free only where another one ends, and small tasks would
+    /// split it up if they went first.
     LongRunning(Millis),
-    /// It can be in time; the tasks left of its job.
-    InTime(u64),
-    /// It can't be in time any more, and is still of use; the tasks left of its job.
+    /// Its job can meet the deadline; the tasks left of the job.
+    OnTime(u64),
+    /// Its job misses the deadline, but the result still has value; the tasks left of the job.
     Late(u64),
-    /// It is of no use any more; when it should have started. Ahead of what is late, it
-    /// cost 0.015 of a day's worth, the mean of 23 heavy days.
+    /// Its job has expired; the latest start that would have met the deadline. It goes last:
+    /// ahead of late jobs it cost 0.015 of the goodput.
     Expired(u64),
 }
 
-/// Outcome is the outcome of a look for workers for a step.
+/// Outcome is the outcome of a placement attempt for a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Outcome {
-    /// No worker has room for a task.
-    Full,
-    /// Something else than room stands in the way.
-    Barred,
+    /// No worker can take a task.
+    NoWorker,
+    /// Something other than a lack of workers prevents a start.
+    Blocked,
     /// At least one task was placed.
     Placed,
 }
 
 impl Cell {
-    /// place starts the waiting tasks that find a worker, or goes on with that.
+    /// place starts waiting tasks that find a worker. It continues the passes that are under
+    /// way, or begins new ones.
     pub(crate) fn place(&mut self) {
         if !self.has_authority() {
             return;
@@ -91,10 +92,10 @@
             self.guaranteed_pass.due = true;
             self.best_effort_pass.due = true;
         }
-        self.guaranteed_pass.budget.renew(self.now.mono);
-        self.best_effort_pass.budget.renew(self.now.mono);
+        self.guaranteed_pass.budget.begin_call(self.now.mono);
+        self.best_effort_pass.budget.begin_call(self.now.mono);
         if !self.flow.is_full() {
-            self.end_stale();
+            self.end_stale_passes();
         }
         self.place_guaranteed();
         self.place_best_effort();
@@ -124,31 +125,32 @@
         self.continue_best_effort();
     }
 
-    /// sorted returns the steps of a queue in the order of placement, without
-    /// those that have nothing to place.
-    fn sorted(&mut self, queue: Vec<StepKey>) -> Vec<StepKey> {
+    /// sort_queue sorts the steps of a queue in the order of placement and drops those that have
+    /// nothing to place.
+    fn sort_queue(&mut self, queue: Vec<StepKey>) -> Vec<StepKey> {
         let mut keyed = Vec::with_capacity(queue.len());
         for step in queue {
-            if self.has_nothing_left(step) {
+            if self.has_nothing_to_place(step) {
                 self.step_mut(step).queued = false;
                 continue;
             }
-            keyed.push((self.order_of(step), step));
+            keyed.push((self.position_of(step), step));
         }
         keyed.sort_unstable();
         keyed.into_iter().map(|(_, step)| step).collect()
     }
 
-    /// priority_of returns the priority of a step's queue: zero is the most urgent.
+    /// priority_of returns the priority of a step's queue; zero is the most urgent.
     pub(crate) fn priority_of(&self, step: StepKey) -> u8 {
         let job = self.job(self.step_of(step).job);
         let queue = self.queues.get(&job.queue);
         queue.map_or(u8::MAX, |queue| queue.priority)
     }
 
-    /// order_of returns the place of a step in the order: its priority, then its turn.
-    pub(crate) fn order_of(&self, step: StepKey) -> Place {
-        Place {
+    /// position_of returns the position of a step in the order of placement: its priority, then
+    /// its rank.
+    pub(crate) fn position_of(&self, step: StepKey) -> Position {
+        Position {
             priority: self.priority_of(step),
             rank: self.rank_of(step),
         }
@@ -164,38 +166,38 @@
         if waited_ms >= LONG_RUNNING_FIRST_MS {
             return Rank::LongRunning(Millis(now.saturating_sub(waited_ms)));
         }
-        let latest = job.objective.0.saturating_sub(entry.chain_ms);
+        let latest_start = job.objective.0.saturating_sub(entry.chain_ms);
         let left = match self.is_enabled(Mechanism::FewestLeft) {
             true => u64::from(job.left),
-            false => latest,
+            false => latest_start,
         };
-        if latest >= now || !self.is_enabled(Mechanism::LateLast) {
-            return Rank::InTime(left);
+        if latest_start >= now || !self.is_enabled(Mechanism::LateLast) {
+            return Rank::OnTime(left);
         }
-        let useful = job.expires_at.0.saturating_sub(entry.chain_ms) >= now;
-        if useful || !self.is_enabled(Mechanism::ExpiredLast) {
+        let has_value = job.expires_at.0.saturating_sub(entry.chain_ms) >= now;
+        if has_value || !self.is_enabled(Mechanism::ExpiredLast) {
             Rank::Late(left)
         } else {
-            Rank::Expired(latest)
+            Rank::Expired(latest_start)
         }
     }
 
-    /// has_nothing_left tells whether a step has nothing to place: it may have ended since
-    /// its pass began.
-    fn has_nothing_left(&self, step: StepKey) -> bool {
+    /// has_nothing_to_place reports whether a step has nothing to place: its job may have ended
+    /// since the pass began.
+    fn has_nothing_to_place(&self, step: StepKey) -> bool {
         let entry = self.step_of(step);
         entry.ready.is_empty() || self.job(entry.job).state.is_final()
     }
 
     fn requeue_step(&mut self, step: StepKey, best_effort: bool) {
-        if self.has_nothing_left(step) {
+        if self.has_nothing_to_place(step) {
             self.step_mut(step).queued = false;
             return;
         }
         self.enqueue(step, best_effort);
     }
 
-    /// enqueue puts a step into its queue.
+    /// enqueue adds a step to its queue.
     pub(crate) fn enqueue(&mut self, step: StepKey, best_effort: bool) {
         let queue = if best_effort {
             &mut self.best_effort_queue
@@ -205,10 +207,10 @@
         queue.push(step);
     }
 
-    /// place_step places what it can of a step.
+    /// place_step starts as many ready tasks of a step as find a worker.
     fn place_step(&mut self, demand: &Demand) -> Outcome {
         if !self.may_start(self.step_of(demand.step).job) {
-            return Outcome::Barred;
+            return Outcome::Blocked;
         }
         if demand.gang {
             if demand.advised {
@@ -218,14 +220,14 @@
             return if placed {
                 Outcome::Placed
             } else {
-                Outcome::Barred
+                Outcome::Blocked
             };
         }
         let mut candidates = self.candidates(demand);
         let mut outcome = if candidates.is_empty() {
-            Outcome::Full
+            Outcome::NoWorker
         } else {
-            Outcome::Barred
+            Outcome::Blocked
         };
         let mut left = Vec::new();
         let ready = std::mem::take(&mut self.step_mut(demand.step).ready);
@@ -234,11 +236,11 @@
                 continue;
             }
             if self.flow.is_full() {
-                outcome = outcome.max(Outcome::Barred);
+                outcome = outcome.max(Outcome::Blocked);
                 left.push(task);
                 continue;
             }
-            match self.worker_for(task, demand, &mut candidates) {
+            match self.pick_worker(task, demand, &mut candidates) {
                 Some(worker) => {
                     self.task_mut(task).ready = false;
                     self.start(task, worker);
@@ -249,15 +251,16 @@
         }
         if demand.advised && !left.is_empty() {
             self.request_advice(demand);
-            outcome = outcome.max(Outcome::Barred);
+            outcome = outcome.max(Outcome::Blocked);
         }
         self.step_mut(demand.step).ready.append(&mut left);
         outcome
     }
 
-    /// worker_for returns the best worker for a task of a step. Tasks that
-    /// never failed and are not suspected of crashes are alike and take the first of `candidates`.
-    fn worker_for(
+    /// pick_worker returns the best worker for a task of a step. Tasks that never failed and are
+    /// not suspected of crashes are interchangeable and take the best of `candidates`, which
+    /// were rated once for the step. For any other task the workers are rated anew.
+    fn pick_worker(
         &self,
         task: TaskKey,
         demand: &Demand,
@@ -270,22 +273,22 @@
             return self.find_worker(task, demand);
         }
         while let Some(best) = candidates.pop() {
-            // A worker may have filled up since it was rated.
+            // The score may be out of date: tasks may have started there since.
             let Ok(score) = self.rate_worker(demand, best.worker) else {
                 continue;
             };
             let candidate = Candidate { score, ..best };
-            let passed = candidates.peek().is_some_and(|next| *next > candidate);
+            let overtaken = candidates.peek().is_some_and(|next| *next > candidate);
             candidates.push(candidate);
-            if !passed {
+            if !overtaken {
                 return Some(best.worker);
             }
         }
         None
     }
 
-    /// find_worker returns the best worker for one task. A suspect goes only to one that has
-    /// just answered.
+    /// find_worker returns the best worker for one task. A task that is suspected of crashes
+    /// goes only to a worker that has just answered.
     pub(crate) fn find_worker(&self, task: TaskKey, demand: &Demand) -> Option<WorkerKey> {
         let mut candidates = self.candidates_for(task, demand);
         if self.task(task).suspect.is_some() {
@@ -295,7 +298,8 @@
         best.map(|best| best.worker)
     }
 
-    /// find_worker_unverified returns the best worker for one task, when ever it answered.
+    /// find_worker_unverified returns the best worker for one task, whenever that worker last
+    /// answered.
     pub(crate) fn find_worker_unverified(
         &self,
         task: TaskKey,
@@ -326,7 +330,7 @@
         candidates.into_iter().filter(suits).collect()
     }
 
-    /// may_start_now tells whether a waiting task waits for nothing but a worker.
+    /// may_start_now reports whether a waiting task waits for nothing but a worker.
     pub(crate) fn may_start_now(&self, key: TaskKey) -> bool {
         let task = self.task(key);
         task.ready
@@ -336,7 +340,7 @@
             && self.may_start(self.step_of(task.step).job)
     }
 
-    /// must_wait tells whether a task may not start now, whatever room there is.
+    /// must_wait reports whether a task may not start now, whatever capacity is free.
     fn must_wait(&self, task: TaskKey) -> bool {
         self.awaits_crash_check(task) || self.may_have_ended(task)
     }
@@ -347,8 +351,8 @@
         runs.any(|run| run.worker == key)
     }
 
-    /// trusts tells whether a worker's standing is good enough for a task: one
-    /// that has only a failure left goes where work was lately done.
+    /// trusts reports whether a worker's health is good enough for a task: one that may fail
+    /// only once more goes where work recently succeeded. See [`TRUST_MS`].
     fn trusts(&self, task: TaskKey, key: WorkerKey) -> bool {
         let failures = self.task(task).failed_runs.len() as u16;
         if failures == 0 || !self.is_enabled(Mechanism::Trust) {
--- a/crates/stackpier-cell/src/place/best_effort.rs
+++ b/crates/stackpier-cell/src/place/best_effort.rs
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Where filling tasks do the least harm to serving tasks.
+//! Scores of workers for best-effort tasks: the least expected harm to serving tasks is best.
 
 use crate::{Cell, arena::WorkerKey, obstacle::Obstacle};
 
-use super::candidate::{Demand, SUSPECT_SCORE};
+use super::candidate::{Demand, RECENT_FAULTS_SCORE};
 
-/// HARM_WEIGHT weighs the expected harm against the share of a worker's
-/// processors that is unused.
+/// HARM_WEIGHT weighs the expected harm against the share of a worker's processors that is
+/// unused.
 const HARM_WEIGHT: f64 = 20.0;
 
 impl Cell {
-    /// best_effort_score prefers workers where the least harm to serving tasks is
-    /// expected, then those with most processors unused.
+    /// best_effort_score favours workers where the least harm to serving tasks is expected,
+    /// then those with the most unused processors.
     pub(super) fn best_effort_score(
         &self,
         demand: &Demand,
@@ -25,7 +25,7 @@
             return Err(Obstacle::Apart);
         }
         let unused = worker.expected_unused_milli(self.options.serving_usage_milli);
-        let wanted = i64::from(demand.requested.milli_cores) * demand.unused_percent / 100;
+        let wanted = i64::from(demand.requested.milli_cores) * demand.min_unused_percent / 100;
         if unused < wanted && !demand.relaxed {
             return Err(Obstacle::Busy);
         }
@@ -38,12 +38,12 @@
         if harm > demand.max_harm {
             return Err(Obstacle::Harm(harm));
         }
-        let suspect = if worker.health.has_recent_faults() {
-            SUSPECT_SCORE
+        let recent_faults = if worker.health.has_recent_faults() {
+            RECENT_FAULTS_SCORE
         } else {
             0.0
         };
-        let room = unused as f64 / f64::from(worker.info.capacity.milli_cores.max(1));
-        Ok(room - HARM_WEIGHT * harm - suspect)
+        let unused_share = unused as f64 / f64::from(worker.info.capacity.milli_cores.max(1));
+        Ok(unused_share - HARM_WEIGHT * harm - recent_faults)
     }
 }
--- a/crates/stackpier-cell/src/place/candidate.rs
+++ b/crates/stackpier-cell/src/place/candidate.rs
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What a worker offers to the tasks of a step: whether it may take them, and
-//! how well it suits.
+//! Candidates: whether a worker may take the tasks of a step, and how well it suits them.
 
 use std::{cmp::Ordering, collections::BinaryHeap};
 
@@ -15,33 +14,32 @@
     worker::{Presence, Worker},
 };
 
-/// FAR_MS is how long before its latest start a task stops waiting for a worker in
+/// RACK_WAIT_MARGIN_MS is how long before its latest start a task stops waiting for a worker in
 /// the rack of its data.
-const FAR_MS: u64 = 300;
-/// ALIKE_SCORE prefers a worker that serves only the image of a lasting task;
-/// it is above any number of tasks on a worker.
-const ALIKE_SCORE: f64 = 200.0;
-/// EMPTY_SCORE prefers a worker that serves nothing over one that serves other
-/// images.
+const RACK_WAIT_MARGIN_MS: u64 = 300;
+/// SAME_IMAGE_SCORE favours a worker that serves only the image of a long-running task. It is
+/// higher than any number of tasks on a worker.
+const SAME_IMAGE_SCORE: f64 = 200.0;
+/// EMPTY_SCORE favours a worker that serves nothing over one that serves other images.
 const EMPTY_SCORE: f64 = 100.0;
-/// EVACUATED_SCORE is taken off for a worker that is kept free of serving tasks: it is
-/// below any other that has room.
+/// EVACUATED_SCORE is deducted for a worker that is kept free of serving tasks, so that any
+/// other with enough free capacity comes first.
 const EVACUATED_SCORE: f64 = 10_000.0;
-/// DEDICATED_SCORE prefers a worker that is dedicated to short tasks over any way of
-/// packing.
+/// DEDICATED_SCORE favours a worker that is dedicated to short tasks. It outweighs the packing
+/// score.
 const DEDICATED_SCORE: f64 = 2.0;
-/// EXPOSURE_WEIGHT weighs what a lasting task adds to that which disturbs a
-/// worker, in load for each core, against the number of tasks of its image.
+/// EXPOSURE_WEIGHT weighs the exposure that a long-running task adds to a worker, in load per
+/// core, against the number of tasks of its image there.
 const EXPOSURE_WEIGHT: f64 = 400.0;
-/// SUSPECT_SCORE is taken off for a worker where runs failed or stood still.
-pub(super) const SUSPECT_SCORE: f64 = 5.0;
-/// UNUSED_PERCENT is the share of a filling task's processors that must be unused:
-/// it may work a little slower.
-const UNUSED_PERCENT: i64 = 80;
-/// RACK_SCORE prefers the rack of a step's data over any way of packing.
+/// RECENT_FAULTS_SCORE is deducted for a worker where runs recently failed or stalled.
+pub(super) const RECENT_FAULTS_SCORE: f64 = 5.0;
+/// MIN_UNUSED_PERCENT is the share of a best-effort task's processors that must be unused: the task
+/// may run a little slower than requested.
+const MIN_UNUSED_PERCENT: i64 = 80;
+/// RACK_SCORE favours the rack of a step's data. It outweighs the packing score.
 const RACK_SCORE: f64 = 10.0;
 
-/// Candidate is a worker with how well it suits: higher is better.
+/// Candidate is a worker and its score; higher is better.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub worker: WorkerKey,
@@ -69,68 +67,67 @@
     }
 }
 
-/// Demand is what the tasks of a step ask of a worker, looked up once for all
-/// workers.
+/// Demand is what the tasks of a step require of a worker, looked up once for all workers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Demand {
     pub step: StepKey,
     pub service: u16,
     pub priority: u8,
-    /// What must be free; without processors for tasks that fill.
+    /// Capacity that must be free; without processors for best-effort tasks.
     pub size: Size,
-    /// Memory that must be free besides, in MiB.
+    /// Memory that must remain free besides, in MiB.
     pub reserve_mib: u32,
-    /// What one task asks for.
+    /// The capacity that one task requests.
     pub requested: Size,
     pub best_effort: bool,
     pub long_running: bool,
     pub image: ImageKey,
     pub gang: bool,
     pub same_rack: bool,
-    /// The most tasks of the step on one worker.
-    pub most: u32,
+    /// The maximum number of tasks of the step on one worker.
+    pub max_per_worker: u32,
     pub labelled: bool,
-    /// Whether a worker needs the adviser's ticket.
+    /// Whether a worker needs a ticket from the adviser.
     pub advised: bool,
-    /// The rack of the data.
+    /// The rack of the step's data.
     pub rack: Option<u16>,
     /// Whether there is time to wait for that rack.
-    pub patient: bool,
-    /// The most harm that a start may be expected to do.
+    pub waits_for_rack: bool,
+    /// The highest expected harm that a start may cause.
     pub max_harm: f64,
     /// The share of the task's processors that must be unused, in percent.
-    pub unused_percent: i64,
-    /// Whether the bounds that protect others give way.
+    pub min_unused_percent: i64,
+    /// Whether the limits that protect other tasks are lifted.
     pub relaxed: bool,
-    /// Whether room on workers that are dedicated to short tasks may be taken.
+    /// Whether the tasks may use workers that are dedicated to short tasks.
     pub uses_dedicated: bool,
-    /// For how long the first of the tasks has waited, if they count in a worker's room.
+    /// How long the first of the tasks has waited; zero for best-effort tasks.
     pub waited_ms: u64,
 }
 
 impl Demand {
-    /// is_plain tells whether only room decides which workers are allowed.
-    pub(super) fn is_plain(&self) -> bool {
+    /// needs_only_capacity reports whether free capacity alone decides which workers are eligible.
+    pub(super) fn needs_only_capacity(&self) -> bool {
         !self.gang
             && !self.labelled
             && !self.advised
-            && self.most == u32::MAX
+            && self.max_per_worker == u32::MAX
             && self.rack.is_none()
     }
 
-    /// is_shared_only tells whether workers that are dedicated to short tasks are no place for
-    /// the tasks.
-    pub(super) fn is_shared_only(&self) -> bool {
+    /// excludes_dedicated reports whether the tasks may not use workers that are dedicated to short
+    /// tasks.
+    pub(super) fn excludes_dedicated(&self) -> bool {
         self.long_running && !self.uses_dedicated
     }
 
-    /// is_near tells whether a worker is in the rack of the data, if that is waited for.
-    pub(crate) fn is_near(&self, worker: &Worker) -> bool {
-        let near = |rack| rack == worker.rack || !self.patient;
-        self.rack.is_none_or(near)
+    /// meets_rack reports whether a worker is in the rack of the data, or may be in any.
+    pub(crate) fn meets_rack(&self, worker: &Worker) -> bool {
+        let suits = |rack| rack == worker.rack || !self.waits_for_rack;
+        self.rack.is_none_or(suits)
     }
 
-    /// describe returns in words what a task asks for.
+    /// describe returns in words what a task requests.
     pub(crate) fn describe(&self) -> String {
         let Size {
             milli_cores,
@@ -147,26 +144,26 @@
         )
     }
 
-    /// asks_no_less tells whether a worker that is no place for the filling
-    /// tasks of an earlier look is none for these.
-    pub(super) fn asks_no_less(&self, earlier: &Demand) -> bool {
-        self.is_as_large(earlier)
+    /// requires_at_least reports whether a worker that is unsuitable for the best-effort tasks
+    /// of an earlier demand is unsuitable for these, too.
+    pub(super) fn requires_at_least(&self, earlier: &Demand) -> bool {
+        self.requests_at_least(earlier)
             && self.image == earlier.image
             && self.max_harm <= earlier.max_harm
     }
 
-    /// is_as_large tells whether the tasks ask for as much room as others, of the
-    /// same service.
-    pub(super) fn is_as_large(&self, other: &Demand) -> bool {
+    /// requests_at_least reports whether the tasks request at least as much capacity as others, of
+    /// the same service.
+    pub(super) fn requests_at_least(&self, other: &Demand) -> bool {
         self.service == other.service && other.requested.fits(&self.requested)
     }
 
-    /// relaxed returns the same need without the bounds that protect others.
+    /// relaxed returns the same demand without the limits that protect other tasks.
     pub(crate) fn relaxed(self) -> Demand {
         Demand {
             reserve_mib: 0,
             max_harm: f64::MAX,
-            unused_percent: 0,
+            min_unused_percent: 0,
             relaxed: true,
             ..self
         }
@@ -174,8 +171,8 @@
 }
 
 impl Cell {
-    /// demand looks up what a step's tasks ask for, or `None` if no queue of its
-    /// name is known.
+    /// demand looks up what a step's tasks require, or returns `None` if the queue of its job
+    /// is unknown.
     pub(crate) fn demand(&mut self, step: StepKey) -> Option<Demand> {
         let entry = self.step_of(step);
         let job = self.job(entry.job);
@@ -185,23 +182,23 @@
         let service = self.services.number(&service);
         let entry = self.step_of(step);
         let job = self.job(entry.job);
-        let shape = &job.spec.steps[usize::from(entry.number)];
-        let mut size = shape.size;
+        let step_spec = &job.spec.steps[usize::from(entry.number)];
+        let mut size = step_spec.size;
         let mut reserve_mib = 0;
-        if shape.best_effort {
+        if step_spec.best_effort {
             size.milli_cores = 0;
             reserve_mib = match self.is_enabled(Mechanism::Reserve) {
                 true => self.short_task_memory.mean_mib(),
                 false => 0,
             };
         }
-        let latest = job.objective.0.saturating_sub(entry.chain_ms);
-        let slack = latest.saturating_sub(self.now.mono.0);
-        let late = latest < self.now.mono.0;
-        let patient = late || slack * 2 > entry.chain_ms;
+        let latest_start = job.objective.0.saturating_sub(entry.chain_ms);
+        let slack = latest_start.saturating_sub(self.now.mono.0);
+        let late = latest_start < self.now.mono.0;
+        let has_slack = late || slack * 2 > entry.chain_ms;
         let max_harm = if !self.is_enabled(Mechanism::Harm) {
             f64::MAX
-        } else if patient && self.is_enabled(Mechanism::LowerHarm) {
+        } else if has_slack && self.is_enabled(Mechanism::LowerHarm) {
             self.options.max_harm_with_slack
         } else {
             self.options.max_harm
@@ -212,36 +209,36 @@
             priority,
             size,
             reserve_mib,
-            requested: shape.size,
-            best_effort: shape.best_effort,
-            long_running: shape.long_running,
+            requested: step_spec.size,
+            best_effort: step_spec.best_effort,
+            long_running: step_spec.long_running,
             image: entry.image,
-            gang: shape.gang,
-            same_rack: shape.same_rack,
-            most: shape.most_per_worker.unwrap_or(u32::MAX),
-            labelled: shape.label.is_some(),
+            gang: step_spec.gang,
+            same_rack: step_spec.same_rack,
+            max_per_worker: step_spec.most_per_worker.unwrap_or(u32::MAX),
+            labelled: step_spec.label.is_some(),
             advised,
             rack: None,
-            patient: self.now.mono.0 + FAR_MS < latest,
+            waits_for_rack: self.now.mono.0 + RACK_WAIT_MARGIN_MS < latest_start,
             max_harm,
-            unused_percent: match self.is_enabled(Mechanism::Unused) {
-                true => UNUSED_PERCENT,
+            min_unused_percent: match self.is_enabled(Mechanism::Unused) {
+                true => MIN_UNUSED_PERCENT,
                 false => 0,
             },
             relaxed: false,
-            uses_dedicated: shape.long_running && self.may_use_dedicated(step),
-            waited_ms: match shape.best_effort {
+            uses_dedicated: step_spec.long_running && self.may_use_dedicated(step),
+            waited_ms: match step_spec.best_effort {
                 true => 0,
                 false => self.step_wait_ms(step),
             },
         };
-        if let Some(rack) = shape.rack.clone() {
+        if let Some(rack) = step_spec.rack.clone() {
             demand.rack = Some(self.racks.number(&rack));
         }
         Some(demand)
     }
 
-    /// candidates rates all workers that offer room to a step.
+    /// candidates rates all workers and returns those that may take a task of a step.
     pub(crate) fn candidates(&self, demand: &Demand) -> BinaryHeap<Candidate> {
         let rate = |worker| {
             let score = self.rate_worker(demand, worker).ok()?;
@@ -258,8 +255,8 @@
         }
     }
 
-    /// rate_worker returns how well a worker suits a task of a step, or what keeps the
-    /// task from it.
+    /// rate_worker returns the score of a worker for a task of a step, or what prevents a start
+    /// there.
     pub(crate) fn rate_worker(&self, demand: &Demand, key: WorkerKey) -> Result<f64, Obstacle> {
         let worker = self.worker(key);
         self.budget_of(demand).spend(1);
@@ -286,8 +283,8 @@
         Ok(own + rack)
     }
 
-    /// check_eligibility tells whether a worker may take tasks of a step at all, whatever
-    /// its room.
+    /// check_eligibility returns what bars a worker from all tasks of a step, regardless of its
+    /// free capacity.
     pub(crate) fn check_eligibility(
         &self,
         demand: &Demand,
@@ -309,7 +306,9 @@
         if demand.advised && self.ticket(demand.step, key).is_none() {
             return Err(Obstacle::Excluded);
         }
-        if demand.most != u32::MAX && self.count_runs_on(demand.step, worker) >= demand.most {
+        if demand.max_per_worker != u32::MAX
+            && self.count_runs_on(demand.step, worker) >= demand.max_per_worker
+        {
             return Err(Obstacle::Excluded);
         }
         Ok(())
@@ -322,10 +321,12 @@
             && worker.allows_other_starts(now)
             && now >= worker.full_until
             && (!self.is_enabled(Mechanism::Health)
-                || worker.health.allows_start(now, || self.unproved(worker)))
+                || worker
+                    .health
+                    .allows_start(now, || self.count_without_progress(worker)))
     }
 
-    /// is_available tells whether a worker answers and is not about to leave.
+    /// is_available reports whether a worker answers and is not about to leave.
     pub(crate) fn is_available(&self, worker: &Worker) -> bool {
         let now = self.now.mono;
         let listed = worker
@@ -340,8 +341,8 @@
             && worker.silent_since.is_none()
     }
 
-    /// unproved returns how many runs on a worker have shown no progress.
-    fn unproved(&self, worker: &Worker) -> usize {
+    /// count_without_progress returns how many runs on a worker have shown no progress.
+    fn count_without_progress(&self, worker: &Worker) -> usize {
         let runs = worker.runs.iter().filter_map(|key| self.runs.get(*key));
         runs.filter(|run| run.percent == 0).count()
     }
@@ -351,35 +352,38 @@
         runs.filter(|run| run.step == step).count() as u32
     }
 
-    /// serving_score keeps lasting tasks of one image together, as they are
-    /// disturbed by the same filling tasks, then packs them.
+    /// serving_score keeps long-running tasks of one image together, as the same best-effort
+    /// tasks disturb them, then packs them.
     fn serving_score(&self, demand: &Demand, worker: &Worker) -> f64 {
         let runs = worker.runs.iter().filter_map(|key| self.runs.get(*key));
-        let (mut alike, mut others) = (0, 0);
+        let (mut same_image, mut others) = (0, 0);
         for run in runs.filter(|run| run.serving) {
             if run.image == demand.image {
-                alike += 1;
+                same_image += 1;
             } else {
                 others += 1;
             }
         }
-        let company = match (alike, others) {
+        let affinity = match (same_image, others) {
             _ if !self.is_enabled(Mechanism::SameImage) => 0.0,
             (0, 0) => EMPTY_SCORE,
-            (_, 0) => ALIKE_SCORE,
-            _ => f64::from(alike - others) - EXPOSURE_WEIGHT * self.exposure(demand.image, worker),
+            (_, 0) => SAME_IMAGE_SCORE,
+            _ => {
+                f64::from(same_image - others)
+                    - EXPOSURE_WEIGHT * self.exposure(demand.image, worker)
+            }
         };
         let evacuated = if worker.evacuated {
             EVACUATED_SCORE
         } else {
             0.0
         };
-        company - evacuated + self.pack_score(worker, demand.size)
+        affinity - evacuated + self.pack_score(worker, demand.size)
     }
 
-    /// exposure returns by how much a lasting task would widen what disturbs a
-    /// worker: the sum, over filling images, of its coefficient above those of
-    /// the tasks that serve there.
+    /// exposure returns by how much a long-running task would raise what best-effort tasks can
+    /// do to a worker: the sum, over their images, of how far its interference coefficient
+    /// exceeds the highest of the tasks that serve there already.
     fn exposure(&self, image: ImageKey, worker: &Worker) -> f64 {
         if !self.is_enabled(Mechanism::Exposure) {
             return 0.0;
@@ -389,35 +393,35 @@
             .iter()
             .map(|prediction| prediction.image)
             .collect();
-        let most = |best_effort: ImageKey| {
+        let highest = |best_effort: ImageKey| {
             let means = serving
                 .iter()
                 .map(|other| self.model.pair(*other, best_effort).mean);
             means.fold(0.0, f64::max)
         };
-        let wider =
-            |(best_effort, pair): (ImageKey, Estimate)| (pair.mean - most(best_effort)).max(0.0);
-        self.model.pairs_of(image).map(wider).sum()
+        let excess =
+            |(best_effort, pair): (ImageKey, Estimate)| (pair.mean - highest(best_effort)).max(0.0);
+        self.model.pairs_of(image).map(excess).sum()
     }
 
-    /// pack_score prefers the worker that is left with the least room.
+    /// pack_score favours the worker that is left with the fewest free processors.
     fn pack_score(&self, worker: &Worker, size: Size) -> f64 {
-        let suspect = if worker.health.has_recent_faults() {
-            SUSPECT_SCORE
+        let recent_faults = if worker.health.has_recent_faults() {
+            RECENT_FAULTS_SCORE
         } else {
             0.0
         };
         if !self.is_enabled(Mechanism::Packing) {
-            return -suspect;
+            return -recent_faults;
         }
         let free = worker.free().minus(&size);
         let capacity = f64::from(worker.info.capacity.milli_cores.max(1));
-        -f64::from(free.milli_cores) / capacity - suspect
+        -f64::from(free.milli_cores) / capacity - recent_faults
     }
 }
 
-/// rack_score prefers the rack of a step's data. A task waits for that rack as long
-/// as it can be in time, then it goes elsewhere.
+/// rack_score favours the rack of a step's data. A task waits for that rack while it can still
+/// meet its deadline, then it goes elsewhere.
 fn rack_score(demand: &Demand, worker: &Worker) -> Option<f64> {
     let Some(rack) = demand.rack else {
         return Some(0.0);
@@ -425,5 +429,5 @@
     if rack == worker.rack {
         return Some(RACK_SCORE);
     }
-    (!demand.patient).then_some(0.0)
+    (!demand.waits_for_rack).then_some(0.0)
 }
--- a/crates/stackpier-cell/src/place/gang.rs
+++ b/crates/stackpier-cell/src/place/gang.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Gangs: all tasks of a step are placed together or none is.
+//! Gangs: the tasks of a step are placed all together or not at all.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use super::candidate::Demand;
 
 impl Cell {
-    /// place_gang places all tasks of a gang or none.
+    /// place_gang starts all tasks of a gang or none. It reports whether they started.
     pub(super) fn place_gang(&mut self, demand: &Demand) -> bool {
         let entry = self.step_of(demand.step);
         let tasks: Vec<TaskKey> = entry.ready.clone();
@@ -21,7 +21,7 @@
         if tasks.iter().any(|task| self.must_wait(*task)) {
             return false;
         }
-        let Some(chosen) = self.room_for_gang(demand, tasks.len()) else {
+        let Some(chosen) = self.find_workers_for_gang(demand, tasks.len()) else {
             return false;
         };
         let numbers = tasks.iter().map(|task| self.task(*task).next_run);
@@ -36,9 +36,9 @@
         true
     }
 
-    /// room_for_gang returns a worker for each task. It prefers a single rack
-    /// where the step asks for one.
-    fn room_for_gang(&self, demand: &Demand, count: usize) -> Option<Vec<WorkerKey>> {
+    /// find_workers_for_gang returns a worker for each task. It prefers a single rack where the
+    /// step asks for one.
+    fn find_workers_for_gang(&self, demand: &Demand, count: usize) -> Option<Vec<WorkerKey>> {
         if demand.same_rack {
             let racks: BTreeSet<u16> = self
                 .live_workers()
@@ -54,8 +54,8 @@
     }
 
     fn fit_gang(&self, demand: &Demand, count: usize, rack: Option<u16>) -> Option<Vec<WorkerKey>> {
-        let mut whole = demand.size;
-        whole.memory_mib += demand.reserve_mib;
+        let mut required = demand.size;
+        required.memory_mib += demand.reserve_mib;
         let mut chosen = Vec::new();
         for key in self.live_workers() {
             let worker = self.worker(key);
@@ -66,7 +66,7 @@
             }
             let mut free = worker.free();
             let mut here = 0;
-            while chosen.len() < count && here < demand.most && whole.fits(&free) {
+            while chosen.len() < count && here < demand.max_per_worker && required.fits(&free) {
                 free = free.minus(&demand.size);
                 here += 1;
                 chosen.push(key);
--- a/crates/stackpier-cell/src/place/pass.rs
+++ b/crates/stackpier-cell/src/place/pass.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Passes over the waiting steps, in slices: each call of the decisions goes on where
-//! the one before it had spent its ratings.
+//! Passes over the waiting steps. A pass may take several calls of `Cell::step`: each continues
+//! where the previous one had used up its ratings.
 
 use stackpier_core::{Millis, Size};
 
@@ -10,86 +10,88 @@
     place::{Budget, Demand, MAX_TRIED, Outcome},
 };
 
-/// STALE_MS is how old the order of a pass may be that had to wait for answers to starts:
-/// what came since then and is more urgent goes first.
+/// STALE_MS is the maximum age of a pass that waits for answers to starts. Then a new pass
+/// begins, so that more urgent tasks that became ready meanwhile go first.
 const STALE_MS: u64 = 100;
 
-/// Full is a size for which no worker of a service had room that tasks of a kind may take.
+/// Rejection describes tasks for which no worker of a service had free capacity, so that the
+/// pass skips tasks that would find none either.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Full {
+pub(crate) struct Rejection {
     service: u16,
     size: Size,
-    /// Whether only workers that are not dedicated to short tasks were allowed.
-    shared_only: bool,
+    /// Whether workers that are dedicated to short tasks were excluded.
+    without_dedicated: bool,
     long_running: bool,
     priority: u8,
-    /// For how long the first of the tasks had waited.
+    /// How long the first of the tasks had waited.
     waited_ms: u64,
 }
 
-impl Full {
-    /// of notes that the tasks of a step found no room.
-    fn of(demand: &Demand) -> Full {
-        Full {
+impl Rejection {
+    /// of records that the tasks of a step found no free capacity.
+    fn of(demand: &Demand) -> Rejection {
+        Rejection {
             service: demand.service,
             size: demand.size,
-            shared_only: demand.is_shared_only(),
+            without_dedicated: demand.excludes_dedicated(),
             long_running: demand.long_running,
             priority: demand.priority,
             waited_ms: demand.waited_ms,
         }
     }
 
-    /// is_barred_as tells whether all claims that kept these tasks out hold against others, too.
-    fn is_barred_as(&self, demand: &Demand) -> bool {
+    /// is_blocked_alike reports whether all reservations that kept the rejected tasks out keep
+    /// others out, too.
+    fn is_blocked_alike(&self, demand: &Demand) -> bool {
         let older = !self.long_running || demand.waited_ms > self.waited_ms;
         demand.priority >= self.priority && !(demand.long_running && older)
     }
 
-    /// covers tells whether tasks find no room either: they ask for as much or more, may go to
-    /// no other workers, and have no older claim.
-    fn covers(&self, demand: &Demand, reservations: bool) -> bool {
+    /// covers reports whether tasks find no free capacity either: they require at least as
+    /// much, may use no other workers, and are kept out by the same reservations.
+    fn covers(&self, demand: &Demand, has_reservations: bool) -> bool {
         self.service == demand.service
             && self.size.fits(&demand.size)
-            && (demand.is_shared_only() || !self.shared_only)
-            && (!reservations || self.is_barred_as(demand))
+            && (demand.excludes_dedicated() || !self.without_dedicated)
+            && (!has_reservations || self.is_blocked_alike(demand))
     }
 }
 
-/// Room is the most of everything that some worker of a service has free. No worker may
-/// have all of it.
+/// Headroom is the maximum of each resource that is free on any worker of a service. No single
+/// worker may have all of it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Room {
+pub(crate) struct Headroom {
     service: u16,
-    most: Size,
+    max_free: Size,
 }
 
-/// GuaranteedPass is the passes over the steps whose tasks count in a worker's room.
+/// GuaranteedPass holds the state of the passes over steps with guaranteed tasks.
 #[derive(Debug)]
 pub(crate) struct GuaranteedPass {
-    /// The ratings that they may take. With ratings in common, a cell in which many tasks
-    /// wait for room would leave none for those that fill.
+    /// The ratings that the passes may use. Best-effort tasks have their own: from a shared
+    /// budget, a cell in which many guaranteed tasks wait would leave none for them.
     pub budget: Budget,
     /// Whether something changed since the last pass began.
     pub due: bool,
     /// When the last pass began.
     began: Millis,
     /// Whether the pass waits for answers to starts.
-    held_up: bool,
-    /// Steps to look at, the next one last.
+    awaits_answers: bool,
+    /// Steps still to be tried, the next one last.
     steps: Vec<StepKey>,
-    /// Sizes that found no room in this pass.
-    full: Vec<Full>,
-    /// Whether room is claimed on some worker.
-    reservations: bool,
-    /// The room of each service when the pass began.
-    room: Vec<Room>,
+    /// What found no free capacity in this pass.
+    rejections: Vec<Rejection>,
+    /// Whether capacity is reserved on any worker.
+    has_reservations: bool,
+    /// The headroom of each service when the pass began.
+    headroom: Vec<Headroom>,
 }
 
-/// BestEffortPass is the passes over the steps whose tasks fill.
+/// BestEffortPass holds the state of the passes over steps with best-effort tasks.
 #[derive(Debug)]
 pub(crate) struct BestEffortPass {
-    /// The ratings that they may take.
+    /// The ratings that the passes may use.
     pub budget: Budget,
     /// Whether something changed since the last pass began.
     pub due: bool,
@@ -98,146 +100,157 @@
     /// When the last pass began.
     pub began: Millis,
     /// Whether the pass waits for answers to starts.
-    held_up: bool,
-    /// Workers whose serving tasks are to be looked at anew.
+    awaits_answers: bool,
+    /// Workers whose predictions are still to be renewed.
     workers: Vec<WorkerKey>,
-    /// Steps to look at, the next one last.
+    /// Steps still to be tried, the next one last.
     steps: Vec<StepKey>,
-    /// What found no worker: tasks alike that ask for as much find none either.
-    barred: Vec<Demand>,
-    /// How many of these an earlier pass had found, which ended before it had tried all kinds.
-    carried: usize,
-    /// Steps that starve, the longest waiting last.
+    /// Demands that found no worker: similar ones that require at least as much find none
+    /// either.
+    rejected: Vec<Demand>,
+    /// How many of these come from an earlier pass that ended before it had tried all kinds.
+    carried_over: usize,
+    /// Starving steps, the longest waiting last.
     starving: Vec<StepKey>,
-    /// What starves and found no worker: what asks for as much room finds none either.
-    without_room: Vec<Demand>,
-    /// Whether what starves was looked up.
-    looked_up: bool,
+    /// Demands of starving steps that found no worker: those that request at least as much find
+    /// none either.
+    rejected_starving: Vec<Demand>,
+    /// Whether this pass has looked up the starving steps.
+    starving_listed: bool,
 }
 
 impl GuaranteedPass {
-    /// new has nothing to look at.
+    /// new returns a pass with nothing to try.
     pub(crate) fn new(budget: Budget) -> GuaranteedPass {
         GuaranteedPass {
             budget,
             due: false,
             began: Millis(0),
-            held_up: false,
+            awaits_answers: false,
             steps: Vec::new(),
-            full: Vec::new(),
-            reservations: false,
-            room: Vec::new(),
+            rejections: Vec::new(),
+            has_reservations: false,
+            headroom: Vec::new(),
         }
     }
 
-    /// is_full tells whether no worker has room for tasks, as far as the pass knows.
-    fn is_full(&self, demand: &Demand) -> bool {
-        let room = self.room.iter().find(|room| room.service == demand.service);
-        let fits = room.is_some_and(|room| demand.size.fits(&room.most));
+    /// rules_out reports whether no worker has free capacity for tasks, as far as the pass knows.
+    fn rules_out(&self, demand: &Demand) -> bool {
+        let headroom = self
+            .headroom
+            .iter()
+            .find(|headroom| headroom.service == demand.service);
+        let fits = headroom.is_some_and(|headroom| demand.size.fits(&headroom.max_free));
         !fits
             || self
-                .full
+                .rejections
                 .iter()
-                .any(|full| full.covers(demand, self.reservations))
+                .any(|rejection| rejection.covers(demand, self.has_reservations))
     }
 
-    /// steps returns the steps that are still to be looked at.
+    /// steps returns the steps that are still to be tried.
     pub(crate) fn steps(&self) -> &[StepKey] {
         &self.steps
     }
 }
 
 impl BestEffortPass {
-    /// new has nothing to look at.
+    /// new returns a pass with nothing to try.
     pub(crate) fn new(budget: Budget) -> BestEffortPass {
         BestEffortPass {
             budget,
             due: false,
             under_way: false,
             began: Millis(0),
-            held_up: false,
+            awaits_answers: false,
             workers: Vec::new(),
             steps: Vec::new(),
-            barred: Vec::new(),
-            carried: 0,
+            rejected: Vec::new(),
+            carried_over: 0,
             starving: Vec::new(),
-            without_room: Vec::new(),
-            looked_up: false,
+            rejected_starving: Vec::new(),
+            starving_listed: false,
         }
     }
 
-    /// steps returns the steps that are still to be looked at.
+    /// steps returns the steps that are still to be tried.
     pub(crate) fn steps(&self) -> &[StepKey] {
         &self.steps
     }
 
-    /// has_tried_most tells whether the pass has tried as many kinds as it may.
-    fn has_tried_most(&self) -> bool {
-        self.barred.len() - self.carried >= MAX_TRIED
+    /// has_reached_limit reports whether as many kinds as a pass may try have found no worker.
+    fn has_reached_limit(&self) -> bool {
+        self.rejected.len() - self.carried_over >= MAX_TRIED
     }
 
-    /// begin_barred begins a pass with the kinds that need not be tried: none, unless the one
-    /// before it ended early.
-    fn begin_barred(&mut self) {
-        if !self.has_tried_most() {
-            self.barred.clear();
+    /// reset_rejected prepares the rejected demands for a new pass. Those of the previous pass
+    /// are kept if it ended at its limit, so that the new one continues with other kinds.
+    fn reset_rejected(&mut self) {
+        if !self.has_reached_limit() {
+            self.rejected.clear();
         }
-        self.carried = self.barred.len();
+        self.carried_over = self.rejected.len();
     }
 }
 
 impl Cell {
-    /// begin_guaranteed begins a pass over what waits for room.
+    /// begin_guaranteed begins a pass over steps with guaranteed tasks.
     pub(super) fn begin_guaranteed(&mut self) {
         let queue = std::mem::take(&mut self.guaranteed_queue);
-        let mut steps = self.sorted(queue);
+        let mut steps = self.sort_queue(queue);
         self.guaranteed_pass.budget.spend(steps.len());
         steps.reverse();
-        let room = if steps.is_empty() {
+        let headroom = if steps.is_empty() {
             Vec::new()
         } else {
-            self.room()
+            self.compute_headroom()
         };
-        let reservations = self
+        let has_reservations = self
             .live_workers()
             .any(|key| self.worker(key).reservation.is_some());
         self.guaranteed_pass.due = false;
         self.guaranteed_pass.began = self.now.mono;
-        self.guaranteed_pass.held_up = false;
+        self.guaranteed_pass.awaits_answers = false;
         self.guaranteed_pass.steps = steps;
-        self.guaranteed_pass.full.clear();
-        self.guaranteed_pass.reservations = reservations;
-        self.guaranteed_pass.room = room;
+        self.guaranteed_pass.rejections.clear();
+        self.guaranteed_pass.has_reservations = has_reservations;
+        self.guaranteed_pass.headroom = headroom;
     }
 
-    /// room returns the room of each service.
-    fn room(&self) -> Vec<Room> {
-        let mut rooms: Vec<Room> = Vec::new();
+    /// compute_headroom returns the headroom of each service.
+    fn compute_headroom(&self) -> Vec<Headroom> {
+        let mut headrooms: Vec<Headroom> = Vec::new();
         for worker in self.live_workers().map(|key| self.worker(key)) {
             let free = worker.free();
             let service = worker.service;
-            match rooms.iter_mut().find(|room| room.service == service) {
-                Some(room) => room.most = room.most.max_each(&free),
-                None => rooms.push(Room {
+            match headrooms
+                .iter_mut()
+                .find(|headroom| headroom.service == service)
+            {
+                Some(headroom) => headroom.max_free = headroom.max_free.max_each(&free),
+                None => headrooms.push(Headroom {
                     service,
-                    most: free,
+                    max_free: free,
                 }),
             }
         }
         self.guaranteed_pass.budget.spend(self.workers.len());
-        rooms
+        headrooms
     }
 
-    /// end_stale ends passes that waited for answers to starts for long, so that the
-    /// next ones begin with what is most urgent by now.
-    pub(super) fn end_stale(&mut self) {
+    /// end_stale_passes ends passes that have waited too long for answers to starts, so that the
+    /// next ones begin with what is most urgent by then.
+    pub(super) fn end_stale_passes(&mut self) {
         let now = self.now.mono;
-        if self.guaranteed_pass.held_up && now.since(self.guaranteed_pass.began) >= STALE_MS {
+        if self.guaranteed_pass.awaits_answers && now.since(self.guaranteed_pass.began) >= STALE_MS
+        {
             let left = std::mem::take(&mut self.guaranteed_pass.steps);
             self.guaranteed_queue.extend(left);
             self.guaranteed_pass.due = true;
         }
-        if self.best_effort_pass.held_up && now.since(self.best_effort_pass.began) >= STALE_MS {
+        if self.best_effort_pass.awaits_answers
+            && now.since(self.best_effort_pass.began) >= STALE_MS
+        {
             let left = std::mem::take(&mut self.best_effort_pass.steps);
             self.best_effort_queue.extend(left);
             self.best_effort_pass.starving.clear();
@@ -246,10 +259,10 @@
         }
     }
 
-    /// continue_guaranteed looks at the steps of the pass until the ratings are spent or too
-    /// many starts are on their way.
+    /// continue_guaranteed tries the steps of the pass until the ratings are used up or too
+    /// many starts await answers.
     pub(super) fn continue_guaranteed(&mut self) {
-        self.guaranteed_pass.held_up = self.flow.is_full();
+        self.guaranteed_pass.awaits_answers = self.flow.is_full();
         while !self.guaranteed_pass.budget.is_spent()
             && !self.flow.is_full()
             && let Some(step) = self.guaranteed_pass.steps.pop()
@@ -261,29 +274,29 @@
                 self.requeue_step(step, false);
             }
         }
-        self.guaranteed_pass.held_up |= self.flow.is_full();
+        self.guaranteed_pass.awaits_answers |= self.flow.is_full();
     }
 
     fn try_guaranteed(&mut self, step: StepKey) {
-        if self.has_nothing_left(step) {
+        if self.has_nothing_to_place(step) {
             return;
         }
         let Some(demand) = self.demand(step) else {
             return;
         };
-        let reserved = self.guaranteed_pass.reservations && self.reservations_of(step) > 0;
-        if !reserved && self.guaranteed_pass.is_full(&demand) {
+        let reserved = self.guaranteed_pass.has_reservations && self.reservations_of(step) > 0;
+        if !reserved && self.guaranteed_pass.rules_out(&demand) {
             return;
         }
-        if self.place_step(&demand) == Outcome::Full && demand.is_plain() {
-            self.guaranteed_pass.full.push(Full::of(&demand));
+        if self.place_step(&demand) == Outcome::NoWorker && demand.needs_only_capacity() {
+            self.guaranteed_pass.rejections.push(Rejection::of(&demand));
         }
     }
 
-    /// begin_best_effort begins a pass over what fills.
+    /// begin_best_effort begins a pass over steps with best-effort tasks.
     pub(super) fn begin_best_effort(&mut self) {
         let queue = std::mem::take(&mut self.best_effort_queue);
-        let mut steps = self.sorted(queue);
+        let mut steps = self.sort_queue(queue);
         self.best_effort_pass.budget.spend(steps.len());
         steps.reverse();
         let workers = if steps.is_empty() {
@@ -295,25 +308,26 @@
         pass.due = false;
         pass.under_way = true;
         pass.began = self.now.mono;
-        pass.held_up = false;
+        pass.awaits_answers = false;
         pass.workers = workers;
         pass.steps = steps;
-        pass.begin_barred();
-        pass.without_room.clear();
-        pass.looked_up = false;
+        pass.reset_rejected();
+        pass.rejected_starving.clear();
+        pass.starving_listed = false;
     }
 
-    /// continue_best_effort goes on with the pass until the ratings are spent or it is over.
+    /// continue_best_effort continues the pass until it is complete, the ratings are used up or
+    /// too many starts await answers.
     pub(super) fn continue_best_effort(&mut self) {
-        self.best_effort_pass.held_up |= self.flow.is_full();
+        self.best_effort_pass.awaits_answers |= self.flow.is_full();
         while !self.best_effort_pass.budget.is_spent() && !self.flow.is_full() {
             if let Some(worker) = self.best_effort_pass.workers.pop() {
                 self.renew_predictions(worker);
             } else if let Some(step) = self.best_effort_pass.steps.pop() {
                 self.try_best_effort(step);
-            } else if !self.best_effort_pass.looked_up {
-                self.best_effort_pass.looked_up = true;
-                self.best_effort_pass.starving = self.starving();
+            } else if !self.best_effort_pass.starving_listed {
+                self.best_effort_pass.starving_listed = true;
+                self.best_effort_pass.starving = self.find_starving();
             } else if let Some(step) = self.best_effort_pass.starving.pop() {
                 self.try_starving(step);
             } else {
@@ -321,7 +335,7 @@
                 return;
             }
         }
-        self.best_effort_pass.held_up |= self.flow.is_full();
+        self.best_effort_pass.awaits_answers |= self.flow.is_full();
     }
 
     fn renew_predictions(&mut self, key: WorkerKey) {
@@ -335,18 +349,18 @@
     }
 
     fn try_best_effort(&mut self, step: StepKey) {
-        if !self.has_nothing_left(step)
-            && !self.best_effort_pass.has_tried_most()
+        if !self.has_nothing_to_place(step)
+            && !self.best_effort_pass.has_reached_limit()
             && let Some(demand) = self.demand(step)
             && !self
                 .best_effort_pass
-                .barred
+                .rejected
                 .iter()
-                .any(|earlier| demand.asks_no_less(earlier))
-            && self.place_step(&demand) == Outcome::Full
-            && demand.is_plain()
+                .any(|earlier| demand.requires_at_least(earlier))
+            && self.place_step(&demand) == Outcome::NoWorker
+            && demand.needs_only_capacity()
         {
-            self.best_effort_pass.barred.push(demand);
+            self.best_effort_pass.rejected.push(demand);
         }
         if self.flow.is_full() {
             self.best_effort_pass.steps.push(step);
@@ -356,22 +370,22 @@
     }
 
     fn try_starving(&mut self, step: StepKey) {
-        if self.has_nothing_left(step) {
+        if self.has_nothing_to_place(step) {
             return;
         }
         let Some(demand) = self.demand(step) else {
             return;
         };
         let demand = demand.relaxed();
-        let without_room = &self.best_effort_pass.without_room;
-        if without_room
+        let rejected_starving = &self.best_effort_pass.rejected_starving;
+        if rejected_starving
             .iter()
-            .any(|earlier| demand.is_as_large(earlier))
+            .any(|earlier| demand.requests_at_least(earlier))
         {
             return;
         }
-        if self.place_one(&demand) == Outcome::Full && demand.is_plain() {
-            self.best_effort_pass.without_room.push(demand);
+        if self.place_one(&demand) == Outcome::NoWorker && demand.needs_only_capacity() {
+            self.best_effort_pass.rejected_starving.push(demand);
         }
     }
 }
--- a/crates/stackpier-cell/src/place/starvation.rs
+++ b/crates/stackpier-cell/src/place/starvation.rs
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Starving steps: none waits without an end while workers have room.
+//! Starving steps: no step waits forever while workers have free capacity.
 //!
-//! Filling tasks are kept from workers by bounds that protect others: expected harm
-//! to serving tasks, memory kept free, processors in use. Each is an estimate or a
-//! margin that may never give way, and what a task would do is not learnt as long as
-//! it does not run. So a step that has had nothing running for long gets one task
-//! started in spite of them, where the least harm is expected. From then on the
-//! paces protect the serving tasks, as they do beside any other.
+//! Limits that protect other tasks keep best-effort tasks from workers: expected harm to serving
+//! tasks, memory kept free, processors in use. Each is an estimate or a margin that may stay in
+//! force forever, and the model learns nothing of a task that does not run. So a step that has
+//! had nothing running for long gets one task started regardless of these limits, where the
+//! least harm is expected. From then on its pace protects the serving tasks, as that of any
+//! other best-effort run does.
 
 use std::cmp::Reverse;
 
@@ -18,19 +18,20 @@
 
 use super::{Demand, Outcome};
 
-/// STARVED_MS is how long a step may have nothing running, though its turn has come,
-/// while half of its service is unused: users call a job lost from three seconds on.
+/// STARVED_MS is how long a ready step may have nothing running while half of its service is
+/// unused: users count a job as lost from three seconds on.
 const STARVED_MS: u64 = 2_000;
-/// LOADED_STARVED_MS is the same while more is in use. Room comes and goes then, and
-/// what starts in spite of the bounds costs others: with two seconds here, too, 0.01 to
-/// 0.02 of a day's worth, means of twenty days on each of two deployments.
+/// LOADED_STARVED_MS is the same limit while more than half is in use. Capacity comes and goes
+/// then, and a start regardless of the limits harms other tasks: two seconds here, too, cost
+/// 0.01 to 0.02 of the goodput.
 const LOADED_STARVED_MS: u64 = 20_000;
-/// SETTLE_MS is the least time between two such starts on a worker: reports show what
-/// the last half second was like, so that the effect of one is seen before the next.
+/// SETTLE_MS is the shortest time between two such starts on a worker. Reports cover the last
+/// half second, so the effect of one start is seen before the next.
 const SETTLE_MS: u64 = 600;
 
-/// EARLIER_MS is how long a task is taken to have waited under an earlier owner.
-const EARLIER_MS: u64 = 3_000;
+/// PRIOR_WAIT_MS is how long a task of an inherited job is assumed to have waited under an earlier
+/// owner.
+const PRIOR_WAIT_MS: u64 = 3_000;
 
 /// MILLI is the number of thousandths in a whole.
 const MILLI: u64 = 1_000;
@@ -39,19 +40,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     capacity: i64,
-    reserved: i64,
+    allocated: i64,
     used: i64,
 }
 
 impl Load {
-    /// is_half_free tells whether half of the processors or more are not reserved, or
-    /// not in use.
+    /// is_half_free reports whether at least half of the processors are not allocated, or not
+    /// in use.
     fn is_half_free(&self) -> bool {
-        self.reserved.min(self.used) * 2 <= self.capacity
+        self.allocated.min(self.used) * 2 <= self.capacity
     }
 }
 
-/// Service is one whose load was summed up in this look.
+/// Service is a service whose load was summed up already.
 #[derive(Clone, Copy, Debug)]
 struct Service {
     number: u16,
@@ -59,11 +60,11 @@
 }
 
 impl Cell {
-    /// starving returns the steps that starve, the longest waiting last. One task of each
-    /// that finds a worker starts. They come after all that the bounds allow, as steps
-    /// that waited for long are late in any case: done first it gave 0.003 and 0.006 less
-    /// mean worth on six days of two deployments, within the noise of single plays.
-    pub(super) fn starving(&mut self) -> Vec<StepKey> {
+    /// find_starving returns the steps that starve, the longest waiting last. One task of each
+    /// is started if it finds a worker. They come after everything that the limits allow, as
+    /// steps that have waited for long are late in any case: trying them first gave 0.003 and
+    /// 0.006 less goodput on two deployments, within the noise of single runs.
+    pub(super) fn find_starving(&mut self) -> Vec<StepKey> {
         if !self.is_enabled(Mechanism::Starving) {
             return Vec::new();
         }
@@ -72,15 +73,15 @@
         idle.retain(|step| self.idle_ms(*step) >= STARVED_MS);
         idle.retain(|step| {
             let demand = self.demand(*step);
-            demand.is_some_and(|demand| self.gives_way(&demand, &mut services))
+            demand.is_some_and(|demand| self.may_relax(&demand, &mut services))
         });
         idle.sort_by_key(|step| Reverse(self.step_of(*step).idle_since));
         idle
     }
 
-    /// idle_ms returns for how long a step with tasks to place has had nothing
-    /// running, zero if something runs. Each task that lasts has its own turn, so of
-    /// these it is the longest wait.
+    /// idle_ms returns how long a step with tasks to place has had nothing running, zero if
+    /// something runs. Long-running tasks are counted one by one, so for these it is the
+    /// longest wait.
     pub(crate) fn idle_ms(&self, key: StepKey) -> u64 {
         if self.step_spec(key).long_running {
             return self.step_wait_ms(key);
@@ -92,39 +93,40 @@
         self.now.mono.since(step.idle_since)
     }
 
-    /// wait_ms returns for how long a task has waited to be placed.
+    /// wait_ms returns how long a task has waited to be placed.
     pub(crate) fn wait_ms(&self, key: TaskKey) -> u64 {
         let task = self.task(key);
         let step = self.step_of(task.step);
         let inherited = self.job(step.job).inherited;
         let waited_ms = self.now.mono.since(task.ended.unwrap_or(step.released));
         match task.ended {
-            None if inherited => waited_ms + EARLIER_MS,
+            None if inherited => waited_ms + PRIOR_WAIT_MS,
             _ => waited_ms,
         }
     }
 
-    /// step_wait_ms returns for how long the first of a step's tasks has waited.
+    /// step_wait_ms returns the longest wait of a step's ready tasks.
     pub(crate) fn step_wait_ms(&self, key: StepKey) -> u64 {
         let ready = self.step_of(key).ready.iter();
         ready.map(|task| self.wait_ms(*task)).max().unwrap_or(0)
     }
 
-    /// is_starving tells whether a step has had nothing running for so long that the
-    /// bounds that protect others give way for one of its tasks.
+    /// is_starving reports whether a step has had nothing running for so long that one of its
+    /// tasks may start regardless of the limits that protect other tasks.
     pub(crate) fn is_starving(&self, demand: &Demand) -> bool {
-        self.gives_way(demand, &mut Vec::new())
+        self.may_relax(demand, &mut Vec::new())
     }
 
-    /// gives_way tells the same, and keeps the loads that it sums up.
-    fn gives_way(&self, demand: &Demand, services: &mut Vec<Service>) -> bool {
+    /// may_relax reports the same as `is_starving`, and keeps the loads that it sums up in
+    /// `services`.
+    fn may_relax(&self, demand: &Demand, services: &mut Vec<Service>) -> bool {
         let idle_ms = self.idle_ms(demand.step);
-        let always_ms = if demand.long_running {
+        let unconditional_ms = if demand.long_running {
             STARVED_MS
         } else {
             LOADED_STARVED_MS
         };
-        if idle_ms >= always_ms {
+        if idle_ms >= unconditional_ms {
             return true;
         }
         idle_ms >= STARVED_MS && self.is_half_free(demand.service, services)
@@ -135,24 +137,25 @@
         if let Some(service) = known {
             return service.half_free;
         }
-        let half_free = self.load_of(number).is_half_free();
+        let half_free = self.sum_load(number).is_half_free();
         services.push(Service { number, half_free });
         half_free
     }
 
-    /// load_of sums up the workers of a service that may get starts.
-    fn load_of(&self, service: u16) -> Load {
+    /// sum_load sums up the available workers of a service.
+    fn sum_load(&self, service: u16) -> Load {
         let live = self.live_workers().map(|key| self.worker(key));
         let mut total = Load::default();
         for worker in live.filter(|worker| worker.service == service && self.is_available(worker)) {
             total.capacity += i64::from(worker.info.capacity.milli_cores);
-            total.reserved += i64::from(worker.allocated.milli_cores);
+            total.allocated += i64::from(worker.allocated.milli_cores);
             total.used += self.used_milli(worker);
         }
         total
     }
 
-    /// used_milli returns the processors that the runs on a worker are taken to use.
+    /// used_milli returns the processors that the runs on a worker are assumed to use, in
+    /// thousandths of a core.
     fn used_milli(&self, worker: &Worker) -> i64 {
         let serving =
             u64::from(worker.long_running_milli) * u64::from(self.options.serving_usage_milli);
@@ -162,14 +165,14 @@
         (serving / MILLI) as i64 + (cores * MILLI as f64) as i64
     }
 
-    /// is_settled tells whether the effect of the last start in spite of the bounds
-    /// on a worker has been seen.
+    /// is_settled reports whether the last start on a worker regardless of the limits is long
+    /// enough ago for its effect to be seen.
     pub(super) fn is_settled(&self, worker: &Worker) -> bool {
         let last = worker.relaxed_start_at;
         last.is_none_or(|at| self.now.mono.since(at) >= SETTLE_MS)
     }
 
-    /// place_one starts a task of a step, or its gang.
+    /// place_one starts one task of a step, or its gang.
     pub(super) fn place_one(&mut self, demand: &Demand) -> Outcome {
         if demand.gang || !self.may_start(self.step_of(demand.step).job) {
             return self.place_step(demand);
@@ -177,14 +180,14 @@
         let now = self.now.mono;
         let mut ready = self.step_of(demand.step).ready.iter().copied();
         let Some(task) = ready.find(|task| self.may_start_now(*task)) else {
-            return Outcome::Barred;
+            return Outcome::Blocked;
         };
         let Some(worker) = self.find_worker(task, demand) else {
             if demand.advised {
-                // Also about workers that the bounds kept it from.
+                // The relaxed demand also asks about workers that the limits had excluded.
                 self.request_advice(demand);
             }
-            return Outcome::Full;
+            return Outcome::NoWorker;
         };
         self.unqueue(task);
         self.worker_mut(worker).relaxed_start_at = Some(now);
--- a/crates/stackpier-cell/src/rotation.rs
+++ b/crates/stackpier-cell/src/rotation.rs
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Rotation: tasks that last take turns where there is not room for all of them.
+//! Rotation: long-running tasks get time slices where there is not enough capacity for all.
 //!
-//! A task that lasts may be away for some seconds only. Once one has waited for most of
-//! these, it takes the place of the one that has run for longest: on a worker that serves the
-//! same image if there is one, so that what is learnt of the tasks there goes on to hold. The
-//! room is claimed for it until it starts.
+//! A long-running task may be interrupted for a few seconds only. One that has waited for most
+//! of these replaces the one that has run longest. It prefers a worker that serves the same
+//! image, so that what the model has learnt of the tasks there stays valid. The capacity is
+//! reserved for it until it starts.
 
 use std::cmp::Reverse;
 
@@ -16,18 +16,18 @@
     place::Demand,
 };
 
-/// TURN_MS is how long a task that lasts waits before it takes another one's place.
-const TURN_MS: u64 = 4_500;
-/// ANY_MS is how long it waits before that may be any one: beside another image, or of its
-/// own step.
-const ANY_MS: u64 = 5_000;
-/// MAX_TURNS is how many waiting tasks are given a turn at a time.
-const MAX_TURNS: usize = 32;
-/// MIN_RUN_MS is how long a task that lasts has run at least before it is stopped for others:
-/// it was stopped before, perhaps.
+/// REPLACE_AFTER_MS is how long a long-running task waits before it replaces another one.
+const REPLACE_AFTER_MS: u64 = 4_500;
+/// REPLACE_ANY_AFTER_MS is how long it waits before it may replace any other one: of another
+/// image, or of its own step.
+const REPLACE_ANY_AFTER_MS: u64 = 5_000;
+/// MAX_WAITING is how many waiting tasks are considered at a time.
+const MAX_WAITING: usize = 32;
+/// MIN_RUN_MS is how long a long-running task runs at least before it is preempted: it may have
+/// been preempted before.
 pub(crate) const MIN_RUN_MS: u64 = 6_000;
 
-/// Waiting is a task that lasts and waits for room.
+/// Waiting is a long-running task that waits for capacity.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     step: StepKey,
@@ -35,7 +35,7 @@
     waited_ms: u64,
 }
 
-/// Victim is a run whose place a waiting task may take.
+/// Victim is a run that a waiting task may replace.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
     run: RunKey,
@@ -43,8 +43,8 @@
 }
 
 impl Cell {
-    /// check_rotation stops tasks that have run for longest in favour of those that have waited
-    /// for longest.
+    /// check_rotation preempts the tasks that have run longest in favour of those that have
+    /// waited longest.
     pub(crate) fn check_rotation(&mut self) {
         if !self.is_enabled(Mechanism::Rotation) || !self.has_authority() || self.flow.is_full() {
             return;
@@ -53,7 +53,7 @@
         if waiting.is_empty() {
             return;
         }
-        let mut victims = self.rotation_victims();
+        let mut victims = self.find_victims();
         let mut without_victim: Vec<StepKey> = Vec::new();
         for waiting in waiting {
             let tried = without_victim.contains(&waiting.step);
@@ -63,14 +63,14 @@
         }
     }
 
-    /// waiting_long_running returns the tasks that last and wait for nothing but room, the longest
-    /// waiting first, without those that room is claimed for.
+    /// waiting_long_running returns the long-running tasks that wait for nothing but capacity,
+    /// the longest waiting first, without those that capacity is reserved for.
     fn waiting_long_running(&self) -> Vec<Waiting> {
-        let takes_turns = |step: &StepKey| {
-            let shape = self.step_spec(*step);
-            shape.long_running && !shape.best_effort && !shape.gang
+        let rotates = |step: &StepKey| {
+            let spec = self.step_spec(*step);
+            spec.long_running && !spec.best_effort && !spec.gang
         };
-        let long_running = self.queued().filter(takes_turns);
+        let long_running = self.queued().filter(rotates);
         let mut waiting = Vec::new();
         for step in long_running {
             let reservations = self.reservations_of(step);
@@ -81,16 +81,16 @@
                 task: *task,
                 waited_ms: self.wait_ms(*task),
             });
-            let due = waits.filter(|waiting| waiting.waited_ms >= TURN_MS);
+            let due = waits.filter(|waiting| waiting.waited_ms >= REPLACE_AFTER_MS);
             waiting.extend(due.skip(reservations));
         }
         waiting.sort_by_key(|waiting| (Reverse(waiting.waited_ms), waiting.task));
-        waiting.truncate(MAX_TURNS);
+        waiting.truncate(MAX_WAITING);
         waiting
     }
 
-    /// rotation_victims returns the runs that may be stopped by now, the longest running first.
-    fn rotation_victims(&self) -> Vec<Victim> {
+    /// find_victims returns the runs that may be preempted now, the longest running first.
+    fn find_victims(&self) -> Vec<Victim> {
         let shared = |key: &WorkerKey| {
             let worker = self.worker(*key);
             worker.dedicated.is_none() && worker.reservation.is_none() && self.is_available(worker)
@@ -99,8 +99,8 @@
         let runs = runs.flat_map(|key| self.long_running_on(key));
         let victim = |key: RunKey| {
             let run = self.runs.get(key)?;
-            let alone = !run.best_effort && !self.step_spec(run.step).gang;
-            (alone && self.may_preempt_long_running(key)).then_some(Victim {
+            let eligible = !run.best_effort && !self.step_spec(run.step).gang;
+            (eligible && self.may_preempt_long_running(key)).then_some(Victim {
                 run: key,
                 since: run.since,
             })
@@ -110,12 +110,13 @@
         victims
     }
 
-    /// rotate stops a run in favour of a waiting task, and tells whether one makes room for it.
+    /// rotate preempts a run in favour of a waiting task. If no run qualifies, a task that may
+    /// use dedicated workers reserves one. It reports whether either was possible.
     fn rotate(&mut self, waiting: Waiting, victims: &mut Vec<Victim>) -> bool {
         let Some(demand) = self.demand(waiting.step) else {
             return false;
         };
-        let Some(found) = self.find_victim(&demand, waiting.waited_ms, victims) else {
+        let Some(found) = self.pick_victim(&demand, waiting.waited_ms, victims) else {
             return demand.uses_dedicated && self.reserve_soonest(&demand);
         };
         let run = victims.remove(found).run;
@@ -138,35 +139,35 @@
         true
     }
 
-    /// find_victim returns the position of the candidate whose place a waiting task takes.
-    fn find_victim(&self, demand: &Demand, waited_ms: u64, victims: &[Victim]) -> Option<usize> {
-        let alike = |victim: &Victim| {
+    /// pick_victim returns the index of the run that a waiting task replaces.
+    fn pick_victim(&self, demand: &Demand, waited_ms: u64, victims: &[Victim]) -> Option<usize> {
+        let same_image = |victim: &Victim| {
             let run = self.runs.get(victim.run);
             run.is_some_and(|run| run.image == demand.image && run.step != demand.step)
         };
-        let makes_room = |victim: &Victim| self.makes_room(demand, victim.run);
+        let frees_capacity = |victim: &Victim| self.frees_capacity(demand, victim.run);
         let best = victims
             .iter()
-            .position(|victim| alike(victim) && makes_room(victim));
-        if best.is_some() || waited_ms < ANY_MS {
+            .position(|victim| same_image(victim) && frees_capacity(victim));
+        if best.is_some() || waited_ms < REPLACE_ANY_AFTER_MS {
             return best;
         }
-        victims.iter().position(makes_room)
+        victims.iter().position(frees_capacity)
     }
 
-    /// makes_room tells whether a waiting task could start in the place of a run.
-    fn makes_room(&self, demand: &Demand, key: RunKey) -> bool {
+    /// frees_capacity reports whether a waiting task could start in place of a run.
+    fn frees_capacity(&self, demand: &Demand, key: RunKey) -> bool {
         let Some(run) = self.runs.get(key) else {
             return false;
         };
         let worker = self.worker(run.worker);
-        let room = worker
+        let free_after = worker
             .info
             .capacity
             .minus(&worker.allocated.minus(&run.guaranteed_size()));
-        demand.size.fits(&room)
+        demand.size.fits(&free_after)
             && demand.priority <= self.priority_of(run.step)
-            && demand.is_near(worker)
+            && demand.meets_rack(worker)
             && self.check_eligibility(demand, run.worker).is_ok()
             && self.may_interrupt(key)
     }
