--- a/crates/stackpier-cell/src/place.rs
+++ b/crates/stackpier-cell/src/place.rs
@@ -258,8 +258,8 @@
     }
 
     /// pick_worker returns the best worker for a task of a step. Tasks that never failed and are
-    /// not suspected of crashes are interchangeable and take the best of `candidates`, which
-    /// were rated once for the step. For any other task the workers are rated anew.
+    /// not suspected of crashes are interchangeable and take the best of `candidates`, the
+    /// workers rated once for the step. For any other task the workers are rated anew.
     fn pick_worker(
         &self,
         task: TaskKey,
@@ -298,8 +298,8 @@
         best.map(|best| best.worker)
     }
 
-    /// find_worker_unverified returns the best worker for one task, whenever that worker last
-    /// answered.
+    /// find_worker_unverified returns the best worker for one task, even if the task is
+    /// suspected of crashes and the worker has not just answered.
     pub(crate) fn find_worker_unverified(
         &self,
         task: TaskKey,
--- a/crates/stackpier-cell/src/place/candidate.rs
+++ b/crates/stackpier-cell/src/place/candidate.rs
@@ -28,8 +28,8 @@
 /// DEDICATED_SCORE favours a worker that is dedicated to short tasks. It outweighs the packing
 /// score.
 const DEDICATED_SCORE: f64 = 2.0;
-/// EXPOSURE_WEIGHT weighs the exposure that a long-running task adds to a worker, in load per
-/// core, against the number of tasks of its image there.
+/// EXPOSURE_WEIGHT weighs what a long-running task adds to a worker's exposure to best-effort
+/// tasks, in load per core, against the number of tasks of its image there.
 const EXPOSURE_WEIGHT: f64 = 400.0;
 /// RECENT_FAULTS_SCORE is deducted for a worker where runs recently failed or stalled.
 pub(super) const RECENT_FAULTS_SCORE: f64 = 5.0;
@@ -121,7 +121,8 @@
         self.long_running && !self.uses_dedicated
     }
 
-    /// meets_rack reports whether a worker is in the rack of the data, or may be in any.
+    /// meets_rack reports whether a worker is in the rack of the step's data, or that rack is
+    /// not waited for.
     pub(crate) fn meets_rack(&self, worker: &Worker) -> bool {
         let suits = |rack| rack == worker.rack || !self.waits_for_rack;
         self.rack.is_none_or(suits)
@@ -283,8 +284,8 @@
         Ok(own + rack)
     }
 
-    /// check_eligibility returns what bars a worker from all tasks of a step, regardless of its
-    /// free capacity.
+    /// check_eligibility returns what rules a worker out for all tasks of a step, regardless of
+    /// its free capacity.
     pub(crate) fn check_eligibility(
         &self,
         demand: &Demand,
@@ -381,9 +382,9 @@
         affinity - evacuated + self.pack_score(worker, demand.size)
     }
 
-    /// exposure returns by how much a long-running task would raise what best-effort tasks can
-    /// do to a worker: the sum, over their images, of how far its interference coefficient
-    /// exceeds the highest of the tasks that serve there already.
+    /// exposure returns by how much a long-running task would make a worker more sensitive to
+    /// best-effort tasks: the sum, over their images, of how far its interference coefficient
+    /// exceeds the highest among the tasks that serve there already.
     fn exposure(&self, image: ImageKey, worker: &Worker) -> f64 {
         if !self.is_enabled(Mechanism::Exposure) {
             return 0.0;
