--- a/crates/stackpier-cell/src/crash/deferred.rs
+++ b/crates/stackpier-cell/src/crash/deferred.rs
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Starts that are held back until the store has them.
+//! Starts that are deferred until the store has recorded them.
 //!
-//! They wait for one save, mostly less than 50 ms. If it fails they are sent all the same, and
-//! later ones do not wait until a save was done again: tasks start while the store is away.
+//! Each waits for one save, usually less than 50 ms. If the save fails, the starts are sent anyway,
+//! and later ones do not wait until a save has succeeded again: tasks must be able to start while
+//! the store is unavailable.
 
 use crate::{
     Cell,
@@ -11,13 +12,13 @@
 };
 
 impl Cell {
-    /// is_sent tells whether the start of a run waits for no save.
+    /// is_sent reports whether the start of a run no longer waits for a save.
     pub(crate) fn is_sent(&self, key: RunKey) -> bool {
         let run = self.runs.get(key);
         run.is_some_and(|run| run.after_save.is_none())
     }
 
-    /// send_deferred sends the starts whose save was made.
+    /// send_deferred sends the starts whose save has been attempted.
     pub(crate) fn send_deferred(&mut self) {
         for key in std::mem::take(&mut self.saver.deferred) {
             let save = self.runs.get(key).and_then(|run| run.after_save);
@@ -29,15 +30,15 @@
         }
     }
 
-    /// send_or_requeue sends a start that was held back, unless its worker may not take it
-    /// any more.
+    /// send_or_requeue sends a deferred start, or requeues it if its worker must not run it any
+    /// more.
     fn send_or_requeue(&mut self, key: RunKey) {
         let now = self.now.mono;
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
         if run.phase != Phase::Starting {
-            // It is being stopped, and its worker never had it.
+            // The run is being stopped, and its start was never sent.
             self.flow.record_answered(key);
             return;
         }
@@ -59,9 +60,9 @@
         }
     }
 
-    /// may_still_start tells whether no later owner can have noted the end of a task some time
-    /// ago: the save may have taken longer than the signs of that hold for which the start was
-    /// decided on.
+    /// may_still_start reports whether a task may still start after the save. The save may have
+    /// taken longer than the confirmations are valid on which the decision to start relied, so that
+    /// a later owner may have acknowledged the end of the task in the meantime.
     fn may_still_start(&self, key: RunKey, task: TaskKey) -> bool {
         let others = self.task(task).runs.iter().filter(|other| **other != key);
         let mut others = others.filter_map(|other| self.runs.get(*other));
@@ -69,8 +70,8 @@
         !self.may_have_ended(task) && self.may_start(job) && others.all(|run| self.is_current(run))
     }
 
-    /// may_still_take tells whether a worker may take the run that it was chosen for: it
-    /// answers and stays, and nothing of another step was started there in isolation.
+    /// may_still_take reports whether a worker may still take the run that it was chosen for: it
+    /// answers, is not leaving, and has no isolated start of another step.
     fn may_still_take(&self, key: WorkerKey, run: RunKey) -> bool {
         let worker = self.worker(key);
         let step = |run: RunKey| self.runs.get(run).map(|run| run.step);
--- a/crates/stackpier-cell/src/handover.rs
+++ b/crates/stackpier-cell/src/handover.rs
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What an earlier owner knew that the store does not have.
+//! Progress that an earlier owner knows of and the store lacks.
 //!
-//! An owner goes on to take ends in while the store is away. A worker that leaves or crashes
-//! meanwhile takes its list of them along: then nobody but that owner can tell a successor
-//! which tasks are done. That a run has ended stays true whoever owns the cell, so a successor
-//! takes it in at any time and in any order.
+//! An owner keeps recording ends while the store is unavailable. If a worker leaves or crashes in
+//! that time, its list of ends is lost, and only that owner can tell its successor which tasks are
+//! done. The end of a run remains valid whoever owns the cell, so the successor applies this
+//! progress at any time and in any order.
 
 use stackpier_state::job::{Checkpoint, Failures, Progress};
 
@@ -23,20 +23,21 @@
         self.saver.unsaved().into_iter().map(unsaved).collect()
     }
 
-    /// await_handover has inherited tasks wait until the earlier owner has been asked for what
-    /// it could not save.
+    /// await_handover makes inherited tasks wait until the earlier owner has been asked for
+    /// progress that it could not save.
     pub fn await_handover(&mut self) {
         self.ownership.awaits_handover = true;
     }
 
-    /// handle_predecessor_answer takes in the answer of the earlier owner, and lets inherited tasks start.
+    /// handle_predecessor_answer applies the answer of the earlier owner and lets inherited tasks
+    /// start.
     pub(crate) fn handle_predecessor_answer(&mut self, unsaved: &[Unsaved]) {
         self.ownership.awaits_handover = false;
         self.place_wanted = true;
         self.apply_handover(unsaved);
     }
 
-    /// apply_handover takes in what an earlier owner could not save.
+    /// apply_handover applies progress that an earlier owner could not save.
     pub(crate) fn apply_handover(&mut self, unsaved: &[Unsaved]) {
         let mut done = 0;
         for Unsaved { job, progress } in unsaved {
@@ -48,25 +49,25 @@
         }
         if !unsaved.is_empty() {
             let text = format!(
-                "an earlier owner had not saved {} jobs, {done} tasks are done by its word",
+                "an earlier owner had unsaved progress of {} jobs, which shows {done} more tasks as done",
                 unsaved.len()
             );
             self.log("takeover", None, text);
         }
     }
 
-    /// merge_progress adds what an earlier owner knew of a job, and returns how many tasks are
-    /// done by that.
+    /// merge_progress adds the progress that an earlier owner had of a job, and returns how many
+    /// tasks it shows to be done.
     fn merge_progress(&mut self, key: JobKey, progress: &Progress) -> usize {
         let job = self.job(key);
         let tasks = (job.first_task.0..job.first_task.0 + job.tasks).map(TaskKey);
-        let places = tasks.enumerate();
-        let news: Vec<TaskKey> = places
-            .filter(|(place, task)| progress.is_done(*place as u32) && !self.task(*task).done)
+        let indexed = tasks.enumerate();
+        let newly_done: Vec<TaskKey> = indexed
+            .filter(|(index, task)| progress.is_done(*index as u32) && !self.task(*task).done)
             .map(|(_, task)| task)
             .collect();
         self.mark_dirty(key);
-        for task in &news {
+        for task in &newly_done {
             self.finish(*task);
         }
         for checkpoint in &progress.checkpoints {
@@ -82,21 +83,23 @@
         for failures in &progress.failures {
             self.merge_failures(key, failures);
         }
-        if let Some(task) = news.first() {
+        if let Some(task) = newly_done.first() {
             self.complete_job(*task);
         }
-        news.len()
+        newly_done.len()
     }
 
-    /// open_task returns the task at a place of a job that is not over, unless it is done.
-    fn open_task(&self, key: JobKey, place: u32) -> Option<TaskKey> {
+    /// open_task returns the task at an index of a job, unless the task is done or the job has
+    /// ended.
+    fn open_task(&self, key: JobKey, index: u32) -> Option<TaskKey> {
         let job = self.job(key);
-        let within = place < job.tasks && !job.state.is_final();
-        let task = within.then_some(TaskKey(job.first_task.0 + place))?;
+        let within = index < job.tasks && !job.state.is_final();
+        let task = within.then_some(TaskKey(job.first_task.0 + index))?;
         (!self.task(task).done).then_some(task)
     }
 
-    /// merge_checkpoint takes a checkpoint over, unless a run has begun since.
+    /// merge_checkpoint applies a checkpoint of the earlier owner, unless a run of the task has
+    /// begun since.
     fn merge_checkpoint(&mut self, key: JobKey, checkpoint: &Checkpoint) {
         let first_run = self.first_run();
         if let Some(task) = self.open_task(key, checkpoint.task)
--- a/crates/stackpier-cell/src/health.rs
+++ b/crates/stackpier-cell/src/health.rs
@@ -1,32 +1,32 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The standing of a worker: after failed runs it gets no starts for a while,
-//! then one at a time until a run does its work.
+//! The health of a worker. After failed runs it gets no starts for a while, then one at a time
+//! until a run succeeds.
 
 use stackpier_core::Millis;
 
-/// BLOCK_MS are the times without starts after one, two, and more failed runs
-/// on end, in milliseconds. One failure in fifty is a task's own, so the first
-/// pause is only as long as it takes to see whether others fail too.
+/// BLOCK_MS holds how long a worker gets no starts after one, two, and more consecutive failed
+/// runs, in milliseconds. One failure in fifty is caused by the task itself, so the first block is
+/// only as long as it takes to see whether other runs fail too.
 const BLOCK_MS: [u64; 3] = [300, 2_500, 5_000];
-/// STALL_BLOCK_MS is the time without starts after a run stood still.
+/// STALL_BLOCK_MS is how long a worker gets no starts after a run has stalled.
 const STALL_BLOCK_MS: u64 = 3_000;
-/// REFUSED_BLOCK_MS is the time without starts after the worker refused one.
+/// REFUSED_BLOCK_MS is how long a worker gets no starts after it refused one.
 const REFUSED_BLOCK_MS: u64 = 400;
 
-/// Health is the standing of one worker.
+/// Health records the recent failures of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    /// Failed runs since the last one that did its work.
+    /// Failed runs since the last successful one.
     failed: u32,
     blocked_until: Millis,
     /// Whether only one start at a time is allowed.
     probing: bool,
-    /// When a run last did its work.
+    /// When a run last succeeded.
     worked: Option<Millis>,
 }
 
 impl Health {
-    /// record_success notes a run that did its work.
+    /// record_success records a run that did its work.
     pub(crate) fn record_success(&mut self, now: Millis) {
         *self = Health {
             worked: Some(now),
@@ -34,7 +34,7 @@
         };
     }
 
-    /// record_failure notes a run that failed.
+    /// record_failure records a run that failed.
     pub(crate) fn record_failure(&mut self, now: Millis) {
         self.failed += 1;
         let step = (self.failed as usize - 1).min(BLOCK_MS.len() - 1);
@@ -42,13 +42,13 @@
         self.probing = self.failed > 1;
     }
 
-    /// record_stall notes a run that stood still.
+    /// record_stall records a run that made no progress.
     pub(crate) fn record_stall(&mut self, now: Millis) {
         self.block(now, STALL_BLOCK_MS);
         self.probing = true;
     }
 
-    /// record_refusal notes a start that the worker refused.
+    /// record_refusal records a start that the worker refused.
     pub(crate) fn record_refusal(&mut self, now: Millis) {
         self.block(now, REFUSED_BLOCK_MS);
     }
@@ -57,18 +57,19 @@
         self.blocked_until = self.blocked_until.max(now.plus(ms));
     }
 
-    /// allows_start tells whether a start is allowed. `unproved` counts the runs that
-    /// were started and have not shown progress yet.
+    /// allows_start reports whether a start is allowed. `unproved` counts the runs that were
+    /// started and have shown no progress yet.
     pub(crate) fn allows_start(&self, now: Millis, unproved: impl Fn() -> usize) -> bool {
         now >= self.blocked_until && (!self.probing || unproved() == 0)
     }
 
-    /// has_recent_success tells whether a run did its work there and none failed since.
+    /// has_recent_success reports whether a run has succeeded on the worker and none has failed
+    /// since.
     pub(crate) fn has_recent_success(&self) -> bool {
         self.worked.is_some() && self.failed == 0
     }
 
-    /// has_recent_faults tells whether runs failed or stood still there lately.
+    /// has_recent_faults reports whether runs have recently failed or stalled on the worker.
     pub(crate) fn has_recent_faults(&self) -> bool {
         self.failed > 0 || self.probing
     }
--- a/crates/stackpier-cell/src/received.rs
+++ b/crates/stackpier-cell/src/received.rs
@@ -1,58 +1,60 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Which ends of a worker an owner has taken in.
+//! Which ends of a worker an owner has received.
 //!
-//! A worker numbers its ends and forgets them up to the number that it is told. Its list may
-//! come in any order, and an end may show in a later report than one with a higher number. So
-//! each end counts by itself, and the worker is told to forget only up to a number below which
-//! none can be missing. An owner that went by the highest number it had seen started 6 to 21%
-//! of all tasks again, on days of the model with workers that list in another order.
+//! A worker numbers its ends and forgets them up to the number that the owner acknowledges. It may
+//! list ends in any order, and an end may appear in a later report than one with a higher number.
+//! So each end is recorded individually, and the owner acknowledges only up to a number below which
+//! no end can be missing. In simulations with workers that list ends out of order, an owner that
+//! relied on the highest number it had received started 6 to 21% of all tasks again.
 
 use std::collections::BTreeSet;
 
 use stackpier_core::Millis;
 
-/// Received is the set of a worker's ends that are taken in.
+/// Received is the set of end numbers that were received from one worker.
 #[derive(Debug, Default)]
 pub(crate) struct Received {
     /// No end up to this number is missing.
     last_contiguous: u64,
-    /// The ends above it that are taken in.
+    /// The received ends above it.
     above: BTreeSet<u64>,
     /// The gap below these, if there is one.
     gap: Option<Gap>,
 }
 
-/// Skipped is a range of numbers that count as taken in though no report listed them.
+/// Skipped is a range of end numbers that count as received although no report listed them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Skipped {
-    /// The first of them.
+    /// The first number of the range.
     pub first: u64,
-    /// The last of them.
+    /// The last number of the range.
     pub last: u64,
 }
 
-/// Gap is numbers that no report has listed, though it listed higher ones. An earlier owner
-/// may have had the worker forget them.
+/// Gap is a range of end numbers that no report has listed although higher ones were listed. An
+/// earlier owner may have acknowledged them, so that the worker has forgotten them.
 #[derive(Clone, Copy, Debug)]
 struct Gap {
-    /// When it was first seen.
+    /// When the gap was first seen.
     seen: Millis,
-    /// The lowest number above it.
+    /// The lowest received number above the gap.
     end: u64,
 }
 
 impl Received {
-    /// insert takes an end in and tells whether it is new.
+    /// insert records an end and reports whether it is new.
     pub(crate) fn insert(&mut self, number: u64) -> bool {
         number > self.last_contiguous && self.above.insert(number)
     }
 
-    /// advance_past_gap follows the ends of a report that was asked for at `sent` and came at `now`. It
-    /// raises the number below which none is missing: past ends that are there, and past a gap
-    /// that a report still has which was asked for later than `wait_ms` after it was seen.
+    /// advance_past_gap is called after the ends of a report have been inserted, which was
+    /// requested at `sent` and arrived at `now`. It raises the number below which no end is
+    /// missing: past ends that were received, and past a gap that still exists in a report
+    /// requested more than `wait_ms` after the gap was first seen. It returns the gap that it
+    /// skipped.
     ///
-    /// That holds for a list that is cut, too: what it lacks may be below, but nothing more of
-    /// it would ever show unless some of it is forgotten. It returns the gap that it went past.
+    /// This applies to truncated lists, too. The missing ends may be below, but the worker would
+    /// never list more of them unless some of the listed ones are acknowledged.
     pub(crate) fn advance_past_gap(
         &mut self,
         sent: Millis,
@@ -79,14 +81,14 @@
         })
     }
 
-    /// advance goes past the ends that follow each other.
+    /// advance moves past consecutive received ends.
     fn advance(&mut self) {
         while self.above.remove(&(self.last_contiguous + 1)) {
             self.last_contiguous += 1;
         }
     }
 
-    /// has_gap tells whether ends are missing below others.
+    /// has_gap reports whether ends are missing below received ones.
     pub(crate) fn has_gap(&self) -> bool {
         !self.above.is_empty()
     }
@@ -96,7 +98,7 @@
         self.last_contiguous
     }
 
-    /// has_above tells whether an end above a number is taken in.
+    /// has_above reports whether an end above `number` has been received.
     pub(crate) fn has_above(&self, number: u64) -> bool {
         self.last_contiguous > number || !self.above.is_empty()
     }
--- a/crates/stackpier-cell/src/renewal.rs
+++ b/crates/stackpier-cell/src/renewal.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Holds: renewing a worker's lease, and asking for its report.
+//! Lease renewals: each renews the lease of a worker and asks for its report.
 
 use stackpier_core::Millis;
 
@@ -10,31 +10,32 @@
     worker::{Clock, Presence, Worker},
 };
 
-/// IDLE_MS is the pause between two holds on a worker that runs nothing. It
-/// only has to keep the reading of its clock fresh.
+/// IDLE_MS is the time between renewals for a worker that runs nothing. They only have to keep the
+/// reading of its clock recent.
 const IDLE_MS: u64 = 5_000;
-/// UNCLEAR_MS is how long a hold waits while a start there got no answer: reports tell
-/// whether the run is there, and its task waits for two of them.
-const UNCLEAR_MS: u64 = 50;
-/// ISOLATED_MS is how long a hold waits while a task that may crash the worker was started
-/// there: reports clear it, and other starts wait for that.
+/// UNCONFIRMED_MS is how long a renewal may wait for an end while a start on the worker has got no
+/// answer. Reports show whether the run is there, and its task waits for two of them.
+const UNCONFIRMED_MS: u64 = 50;
+/// ISOLATED_MS is how long a renewal may wait for an end while a task that may crash the worker has
+/// just been started there. Reports clear the task, and other starts wait for that.
 const ISOLATED_MS: u64 = 100;
 
-/// SHORTEST_MS is how long a run takes at least that begins, does its work and ends, in a
-/// worker that has started again just before.
-const SHORTEST_MS: u64 = 100;
+/// SHORTEST_RUN_MS is the least time in which a worker that has just restarted can begin, carry out
+/// and end a run.
+const SHORTEST_RUN_MS: u64 = 100;
 
-/// STORE_SILENT_MS is how long the store must have been silent for the log to tell what workers
-/// may forget. A busy owner hears it several times a second.
+/// STORE_SILENT_MS is how long the store must not have answered before the ends that workers may
+/// forget are logged. A busy owner gets an answer several times a second.
 const STORE_SILENT_MS: u64 = 700;
 
 impl Cell {
-    /// renew_now sends a hold that does not wait, unless one is on its way.
+    /// renew_now sends a renewal that the worker answers at once, unless one is on its way.
     pub(crate) fn renew_now(&mut self, key: WorkerKey) {
         self.renew(key, 0);
     }
 
-    /// renew_with_wait sends a hold that waits for an end, unless one is on its way.
+    /// renew_with_wait sends a renewal that the worker may answer only when a run ends (a long
+    /// poll), unless one is on its way.
     pub(crate) fn renew_with_wait(&mut self, key: WorkerKey) {
         let runs = self.worker(key).runs.iter();
         let mut wait_ms = self.options.renewal_wait_ms;
@@ -43,7 +44,7 @@
         }
         for run in runs.filter_map(|run| self.runs.get(*run)) {
             if run.is_unconfirmed() {
-                wait_ms = wait_ms.min(UNCLEAR_MS);
+                wait_ms = wait_ms.min(UNCONFIRMED_MS);
             } else if run.serving {
                 wait_ms = wait_ms.min(self.options.serving_renewal_wait_ms);
             }
@@ -57,16 +58,16 @@
         }
     }
 
-    /// send_renewal sends a hold, also if one is on its way, and tells whether it was sent.
+    /// send_renewal sends a renewal even if one is on its way, and reports whether it was sent.
     pub(crate) fn send_renewal(&mut self, key: WorkerKey, wait_ms: u64) -> bool {
         let (now, lease_ms) = (self.now.mono, self.options.lease_ms);
         let (fence, authority) = (self.fence, self.has_authority());
         let foreign = self.is_foreign(self.worker(key));
-        // Beside a hold that is on its way it tells nothing: an answer does not show which of
-        // the two has arrived.
+        // While another renewal is on its way, this one acknowledges nothing: an answer does not
+        // show which of the two has arrived.
         let acking = match self.worker(key).renewing {
             true => 0,
-            false => self.forgettable(key),
+            false => self.next_ack(key),
         };
         let worker = self.worker_mut(key);
         if worker.presence == Presence::Gone || foreign || !authority {
@@ -76,8 +77,8 @@
         worker.renewing = true;
         worker.renewal_sent = now;
         worker.acking = acking;
-        // A hold without an answer may arrive late. One to a silent worker
-        // renews nothing, or its lease would never be known to be over.
+        // A renewal without an answer may still arrive late. One to a silent worker extends no
+        // lease; otherwise the end of its lease could never be known.
         let deadline_ms = match worker.silent_since {
             None => worker.lease(now, lease_ms),
             Some(_) => None,
@@ -90,7 +91,7 @@
             fence,
             deadline_ms,
             acked: acking,
-            // Ends that it is not told to forget are listed again at once.
+            // The worker lists again at once every end that is not acknowledged here.
             wait_ms: if listed { 0 } else { wait_ms },
         };
         self.effects.push(Effect::Renew(renewal));
@@ -98,8 +99,8 @@
         true
     }
 
-    /// log_ack tells up to which end a worker may forget, if the store has not answered
-    /// lately: it must have the ends by then.
+    /// log_ack logs up to which end a worker may forget its ends, if the store has not answered
+    /// recently: these ends must have been saved by then.
     fn log_ack(&mut self, key: WorkerKey, number: u64) {
         let silent_ms = self.store_silent_ms();
         if number == 0 || silent_ms < STORE_SILENT_MS {
@@ -107,24 +108,25 @@
         }
         let id = &self.worker(key).info.id;
         let text = format!(
-            "worker {id} may forget ends up to {number}, {silent_ms} ms after the last word of the store; {}",
+            "worker {id} may forget ends up to {number}, {silent_ms} ms after the last confirmation by the store; {}",
             self.saver.describe()
         );
         self.log("report", None, text);
     }
 
-    /// forgettable returns the number of the last end that a worker is told to forget, zero
-    /// for none. It is told so once: another life that has taken its place would forget ends
-    /// of its own, which nobody has seen. That life can have some only of starts that this one
-    /// is not known to have taken. So while there are such starts, it must just have answered.
-    fn forgettable(&self, key: WorkerKey) -> u64 {
+    /// next_ack returns the number up to which a worker is told to forget its ends, or zero. Each
+    /// number is sent only once, because another incarnation that has replaced the worker would
+    /// forget ends of its own that no owner has received. That incarnation can have ends only if it
+    /// took starts that this one is not known to have taken. So while there are such starts, a
+    /// number is sent only if the worker has just answered.
+    fn next_ack(&self, key: WorkerKey) -> u64 {
         let worker = self.worker(key);
         let now = self.now.mono;
-        let is_recent = |clock: Clock| now.since(clock.at) < SHORTEST_MS;
-        let taken =
+        let is_recent = |clock: Clock| now.since(clock.at) < SHORTEST_RUN_MS;
+        let took_start =
             |run: &Run| run.reported || run.confirmed.is_some_and(|at| at < worker.reported);
         let mut runs = worker.runs.iter().filter_map(|key| self.runs.get(*key));
-        let is_certain = worker.clock.is_some_and(is_recent) || runs.all(taken);
+        let is_certain = worker.clock.is_some_and(is_recent) || runs.all(took_start);
         if worker.acked > worker.ack_confirmed && worker.is_responsive() && is_certain {
             worker.acked
         } else {
@@ -132,8 +134,8 @@
         }
     }
 
-    /// is_foreign tells whether a worker that this owner has not met is of no service that
-    /// runs tasks: whoever is at its address is not called.
+    /// is_foreign reports whether a worker that has not been contacted belongs to no service that
+    /// runs tasks. Such a worker is not called.
     fn is_foreign(&self, worker: &Worker) -> bool {
         let serves = |queue: &Queue| queue.service == worker.info.service;
         worker.presence == Presence::New
@@ -147,17 +149,17 @@
             self.worker_mut(key).renewing = false;
         }
         match outcome {
-            // A later hold was answered first.
+            // A later renewal was answered first.
             Renewed::Report(_) if sent < self.worker(key).reported => {}
             Renewed::Report(report) => self.apply_report(key, sent, report),
             Renewed::Fenced => self.depose(),
             Renewed::OtherLife => self.end_incarnation(key, "its address answers for another life"),
-            Renewed::Silent if is_latest && self.is_latest(key) => self.miss(key),
+            Renewed::Silent if is_latest && self.is_latest(key) => self.record_no_answer(key),
             Renewed::Silent => {}
         }
     }
 
-    fn miss(&mut self, key: WorkerKey) {
+    fn record_no_answer(&mut self, key: WorkerKey) {
         let (now, retry) = (self.now.mono, self.options.retry_ms);
         let worker = self.worker_mut(key);
         worker.renew_after = now.plus(retry);
@@ -169,13 +171,13 @@
         }
     }
 
-    /// schedule_renewal sends the next hold on a worker that runs something, or sets
-    /// when it comes.
+    /// schedule_renewal sends the next renewal to a worker that runs something, or sets when it is
+    /// due.
     pub(crate) fn schedule_renewal(&mut self, key: WorkerKey) {
         let (now, retry_ms) = (self.now.mono, self.options.retry_ms);
         let worker = self.worker_mut(key);
         if worker.has_unacked_ends() {
-            // The save that is on its way sends the next hold.
+            // When the save on its way is done, it sends the next renewal.
             worker.renew_after = now.plus(retry_ms);
             return;
         }
--- a/crates/stackpier-cell/src/restart.rs
+++ b/crates/stackpier-cell/src/restart.rs
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same id.
 //!
-//! The later life knows nothing of the earlier one and counts its ends and its time anew. So
-//! each life is a worker of its own in the arena, and an id leads to the latest one: nothing
-//! that was known of the earlier life counts for the later one.
+//! The new incarnation knows nothing about the earlier one, and its end numbers and its clock start
+//! anew. So each incarnation is a separate worker in the arena, an id refers to the latest one, and
+//! nothing known about the earlier incarnation applies to the new one.
 //!
-//! When a life was started tells it apart. A wall clock may jump, so a smaller value is only
-//! another one, not an earlier life. Which life is the present one is what its reports say:
-//! an entry in the store may be older than the last report.
+//! Incarnations are told apart by their start times. A wall clock may jump, so a smaller start time
+//! means only a different incarnation, not an earlier one. Reports decide which incarnation is the
+//! current one; an entry in the store may be older than the last report.
 
 use stackpier_core::{Millis, Unix, incarnation::differ};
 
@@ -18,35 +18,37 @@
     worker::{Clock, Info, Inheritance, Presence, Worker},
 };
 
-/// Announced is the entry of a life that is not known to be the present one.
+/// Announced is a list entry of an incarnation that is not known to be the current one.
 #[derive(Debug)]
 pub(crate) struct Announced {
     info: Info,
-    /// When the entry showed. A report asked for later tells which life is the present one.
+    /// When the entry was first seen. A report requested later shows which incarnation is current.
     at: Millis,
 }
 
 impl Worker {
-    /// has_own_entry tells whether its entry is of this life: another one may be of another kind.
+    /// has_own_entry reports whether `info` is the entry of this incarnation: that of another one
+    /// may differ in kind.
     pub(crate) fn has_own_entry(&self) -> bool {
         self.announced.is_none() && !differ(self.info.started_at, self.started_at)
     }
 
-    /// is_listed tells whether the list shows an entry of this life.
+    /// is_listed reports whether the list has an entry of this incarnation.
     pub(crate) fn is_listed(&self) -> bool {
         self.unlisted_since.is_none() && self.has_own_entry()
     }
 
-    /// is_of tells whether a description is of this life, as far as either tells.
-    fn is_of(&self, info: &Info) -> bool {
+    /// matches_entry reports whether an entry is of this incarnation, as far as both give a start
+    /// time.
+    fn matches_entry(&self, info: &Info) -> bool {
         !differ(info.started_at, self.started_at)
     }
 }
 
 impl Cell {
-    /// match_incarnation takes in which life a report is of, asked for at `sent`, and tells whether it
-    /// is the known one. A report of another one only begins that: it was asked for with what
-    /// was known of the earlier one.
+    /// match_incarnation reports whether a report, requested at `sent`, is of the known
+    /// incarnation. A report of another incarnation only begins that one. Its contents are not
+    /// applied, because the request relied on the state of the earlier incarnation.
     pub(crate) fn match_incarnation(
         &mut self,
         key: WorkerKey,
@@ -65,7 +67,7 @@
         let answered = worker.announced.take_if(|announced| sent > announced.at);
         match answered {
             Some(announced) if report.started_at.is_none() => {
-                // Its reports do not tell which life it is, so the entry does.
+                // The reports of the worker contain no start time, so the entry decides.
                 self.replace_incarnation(key, announced.info.started_at, announced.info);
                 false
             }
@@ -73,15 +75,15 @@
         }
     }
 
-    /// announce takes in an entry of a life that is not the one known. It returns whether the
-    /// entry is not to be taken for that of the known life.
+    /// announce records an entry of an incarnation other than the known one. It reports whether the
+    /// entry must not be applied to the known incarnation.
     pub(crate) fn announce(&mut self, key: WorkerKey, info: &Info) -> bool {
         let now = self.now.mono;
-        if self.worker(key).is_of(info) {
+        if self.worker(key).matches_entry(info) {
             return false;
         }
         if self.was_ended(info) {
-            // It is older than what reports have told since.
+            // Later reports have superseded the entry.
             return true;
         }
         let worker = self.worker_mut(key);
@@ -99,21 +101,22 @@
         true
     }
 
-    /// was_ended tells whether a description is of a life that is over.
+    /// was_ended reports whether an entry is of an incarnation that has been known, and so, as it
+    /// is not the current one, has ended.
     fn was_ended(&self, info: &Info) -> bool {
         let is_its =
             |worker: &Worker| worker.info.id == info.id && worker.started_at == info.started_at;
         self.workers.iter().any(is_its)
     }
 
-    /// is_latest tells whether a worker is the latest life of its id.
+    /// is_latest reports whether a worker is the latest incarnation of its id.
     pub(crate) fn is_latest(&self, key: WorkerKey) -> bool {
         self.worker_keys.get(&self.worker(key).info.id) == Some(&key)
     }
 
-    /// begin_incarnation has a later life take the place of one whose address answers for it.
+    /// begin_incarnation replaces an incarnation whose address now answers for another one.
     fn begin_incarnation(&mut self, key: WorkerKey, started_at: Option<Unix>, clock_ms: u64) {
-        self.log_acking(key);
+        self.log_misdirected_ack(key);
         let worker = self.worker_mut(key);
         let (unlisted_since, unreadable) = (worker.unlisted_since, worker.unreadable);
         let announced = worker.announced.take().map(|announced| announced.info);
@@ -127,18 +130,19 @@
             worker.unlisted_since = unlisted_since;
             worker.unreadable = unreadable;
         }
-        // Orders that were meant for the earlier life may have leased as much here.
+        // Orders meant for the earlier incarnation may have granted this one a lease of up to the
+        // maximum length.
         worker.clock = Some(Clock { at, ms: clock_ms });
         worker.deadline_ms = clock_ms + max_lease_ms;
     }
 
-    /// log_acking tells of a later life that was told to forget ends of the earlier one: it may
-    /// have forgotten some of its own.
-    fn log_acking(&mut self, key: WorkerKey) {
+    /// log_misdirected_ack logs that a new incarnation was told to forget ends of the earlier one:
+    /// it may have forgotten some of its own.
+    fn log_misdirected_ack(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         if worker.acking > 0 {
             let text = format!(
-                "another life of worker {} was told to forget ends up to {}",
+                "another incarnation of worker {} was told to forget ends up to {}",
                 worker.incarnation(),
                 worker.acking
             );
@@ -146,7 +150,7 @@
         }
     }
 
-    /// replace_incarnation ends a life and begins the next one of the same id.
+    /// replace_incarnation ends an incarnation and begins the next one of the same id.
     fn replace_incarnation(
         &mut self,
         key: WorkerKey,
@@ -157,24 +161,25 @@
         let worker = self.worker(key);
         let inherited = worker.is_inherited();
         if worker.is_responsive() && !worker.closed {
-            // Before runs move away: what began last may have brought it down.
+            // This comes before runs are moved, because the runs that began last may have brought
+            // the worker down.
             self.suspect_runs(key);
             self.worker_mut(key).silent_since = Some(now);
         }
         let later = self.add_incarnation(started_at, info);
         self.move_unreported_runs(key, later);
         self.block_unanswered(key, later);
-        self.end_incarnation(key, "it started again");
+        self.end_incarnation(key, "it restarted");
         if inherited {
             self.worker_mut(later).inheritance = Inheritance::Unseen;
         }
         later
     }
 
-    /// move_unreported_runs has the later life looked at for runs that no report of the earlier
-    /// one has shown. Orders name a worker by its id, so one that was meant for the earlier
-    /// life may have reached the later one. If it has not, a later owner may have heard of the
-    /// run's end from the earlier one.
+    /// move_unreported_runs moves runs that no report of the earlier incarnation has shown to the
+    /// new one, which is then checked for them. Orders name a worker only by its id, so a start
+    /// meant for the earlier incarnation may have reached the new one. If it has not, the earlier
+    /// incarnation may have reported the end of the run to a later owner.
     fn move_unreported_runs(&mut self, earlier: WorkerKey, later: WorkerKey) {
         for key in self.worker(earlier).runs.clone() {
             if self.is_sent(key) && !self.is_reported(key) {
--- a/crates/stackpier-cell/src/roster.rs
+++ b/crates/stackpier-cell/src/roster.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The roster: workers that come, leave, and are given up.
+//! The roster: workers that join, leave, and are given up.
 
 use stackpier_core::{Millis, Size, Unix};
 
@@ -12,7 +12,7 @@
 };
 
 impl Cell {
-    /// add_roster takes in the workers that an earlier owner may have used.
+    /// add_roster adds a worker that an earlier owner may have used.
     pub fn add_roster(&mut self, entry: &RosterEntry) {
         if self.worker_keys.contains_key(&entry.id) {
             return;
@@ -39,13 +39,13 @@
         self.renew_now(key);
     }
 
-    /// set_roster_unknown notes that the workers which earlier owners used can't be told: what they
-    /// leased is waited for.
+    /// set_roster_unknown records that the workers which earlier owners used are not known, so that
+    /// tasks wait until everything leased by those owners has expired.
     pub fn set_roster_unknown(&mut self) {
         self.ownership.roster_unknown = true;
     }
 
-    /// apply_entry takes in a worker as the list shows it now.
+    /// apply_entry adds or updates a worker from its current entry in the list.
     pub(crate) fn apply_entry(&mut self, info: Info) {
         let Some(key) = self.worker_keys.get(&info.id).copied() else {
             self.add_worker(info);
@@ -61,7 +61,7 @@
         }
         let worker = self.worker_mut(key);
         if worker.presence == Presence::Gone {
-            // It was given up while it could not be reached, and shows again.
+            // The worker was given up while it was unreachable, and its entry is back.
             worker.presence = Presence::New;
             worker.clock = None;
             worker.renew_after = now;
@@ -73,7 +73,7 @@
         worker.rack = rack;
         worker.unlisted_since = None;
         worker.unreadable = false;
-        // One that had left may come back: it is in the roster before it gets starts.
+        // A worker that had left may come back. It must be in the roster before it gets starts.
         let stays =
             worker.presence == Presence::Contacted && !worker.rostered && !worker.info.draining;
         self.saver.roster_changed |= stays;
@@ -87,13 +87,13 @@
         self.place_wanted = true;
     }
 
-    /// add_worker adds a worker that was not known and asks it for a report.
+    /// add_worker adds a new worker and asks it for a report.
     fn add_worker(&mut self, info: Info) -> WorkerKey {
         self.add_incarnation(info.started_at, info)
     }
 
-    /// add_incarnation adds a life of a worker, started at a time, and asks it for a report. What is
-    /// known of the worker may be the entry of an earlier life.
+    /// add_incarnation adds an incarnation of a worker and asks it for a report. `info` may be the
+    /// entry of an earlier incarnation.
     pub(crate) fn add_incarnation(&mut self, started_at: Option<Unix>, info: Info) -> WorkerKey {
         let key = WorkerKey(self.workers.len() as u32);
         let worker = Worker {
@@ -138,7 +138,7 @@
             info,
         };
         let text = format!(
-            "worker {} at {} is known",
+            "worker {} at {} was added",
             worker.incarnation(),
             worker.info.address
         );
@@ -149,7 +149,7 @@
         key
     }
 
-    /// mark_unlisted notes that a worker left the list.
+    /// mark_unlisted records that a worker is no longer in the list.
     pub(crate) fn mark_unlisted(&mut self, id: &str) {
         let Some(key) = self.worker_keys.get(id).copied() else {
             return;
@@ -170,8 +170,8 @@
         self.log("worker", None, text);
     }
 
-    /// mark_unreadable notes that a worker's entry can't be read: who wrote it, and of what
-    /// worker, is not known. One that was known before keeps what it runs.
+    /// mark_unreadable records that the entry of a worker can't be read, so that neither its author
+    /// nor the worker it describes is known. A worker that was known before keeps its runs.
     pub(crate) fn mark_unreadable(&mut self, id: &str) {
         let Some(key) = self.worker_keys.get(id).copied() else {
             return;
@@ -183,16 +183,16 @@
         self.mark_unlisted(id);
     }
 
-    /// check_workers sends holds that are due, and ends leases.
+    /// check_workers sends the renewals that are due and ends expired leases.
     pub(crate) fn check_workers(&mut self) {
         let now = self.now.mono;
-        self.settle_all();
+        self.requeue_all_presumed_ended();
         for key in self.collect_live_workers() {
             self.check_silence(key);
-            if self.is_given_up(self.worker(key)) {
+            if self.may_presume_ended(self.worker(key)) {
                 self.expire_lease(key);
             }
-            self.retire(key);
+            self.give_up_unreachable(key);
             self.deregister(key);
             let worker = self.worker(key);
             if !worker.renewing && now >= worker.renew_after {
@@ -202,7 +202,7 @@
         self.poll_uncontacted();
     }
 
-    /// expire_lease ends all runs on a worker whose lease is over by its own clock.
+    /// expire_lease ends all runs on a worker whose lease has expired by its own clock.
     fn expire_lease(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         let Some(end) = worker.lease_end() else {
@@ -212,7 +212,7 @@
             return;
         }
         let text = format!(
-            "lease of worker {} is over as counted here, with {} runs, last asked {} ms ago",
+            "lease of worker {} has expired by the clock of this owner, with {} runs, last renewal sent {} ms ago",
             worker.info.id,
             worker.runs.len(),
             self.now.mono.since(worker.renewal_sent)
@@ -221,25 +221,26 @@
         self.presume_ended(key, end);
     }
 
-    /// retire gives a worker up that left the list and does not answer, once
-    /// nothing can run there any more. A later owner need not wait for it.
-    fn retire(&mut self, key: WorkerKey) {
+    /// give_up_unreachable gives up a worker that left the list and does not answer, once nothing
+    /// can run there any more, so that a later owner does not wait for it.
+    fn give_up_unreachable(&mut self, key: WorkerKey) {
         let now = self.now.mono;
         let worker = self.worker(key);
         let gone = worker.unlisted_since.is_some() && worker.silent_since.is_some();
         let unused = worker.presence == Presence::New && !worker.is_inherited();
-        let over = unused && now >= self.ownership.inherited_until || self.is_given_up(worker);
+        let over =
+            unused && now >= self.ownership.inherited_until || self.may_presume_ended(worker);
         let settled = worker.runs.is_empty() && self.has_stored_ends(worker);
         if gone && settled && over {
             self.give_up_worker(
                 key,
-                "it left the list, does not answer, and its lease is over",
+                "it left the list, does not answer, and its lease has expired",
             );
         }
     }
 
-    /// deregister takes a worker that has left off the roster: a later owner would
-    /// wait for it to answer, and for longer than its lease if it never does.
+    /// deregister removes a worker that has left from the roster. Otherwise a later owner would
+    /// wait for its answer, and for longer than its lease if it never comes.
     fn deregister(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         if worker.presence == Presence::Contacted && worker.rostered && self.has_left(worker) {
@@ -248,10 +249,10 @@
         }
     }
 
-    /// has_left tells whether a worker gets no starts any more, runs nothing, and lists no
-    /// end that the store does not have. The roster and the progress with its last ends may
-    /// go in several transactions: with only the first one done, a later owner would not
-    /// wait for the worker and start again what has ended there.
+    /// has_left reports whether a worker gets no more starts, runs nothing, and lists no end that
+    /// the store lacks. The roster and the job progress with the last ends may be saved in several
+    /// transactions. If only the roster were saved, a later owner would not wait for the worker and
+    /// would start tasks again that have ended there.
     pub(crate) fn has_left(&self, worker: &Worker) -> bool {
         let gone = |since: Millis| self.now.mono.since(since) >= self.options.unlisted_ms;
         let leaves = worker.info.draining || worker.unlisted_since.is_some_and(gone);
@@ -259,13 +260,13 @@
         leaves && worker.runs.is_empty() && listed_all
     }
 
-    /// end_incarnation notes that a worker's process is gone, and everything with it.
+    /// end_incarnation records that the process of a worker is gone, and all its runs with it.
     pub(crate) fn end_incarnation(&mut self, key: WorkerKey, why: &str) {
         let worker = self.worker_mut(key);
         if worker.presence == Presence::Gone {
             return;
         }
-        // One that was taken down on purpose has not crashed.
+        // A worker that was taken down on purpose has not crashed.
         if worker.silent_since.is_none() && !worker.closed {
             self.suspect_runs(key);
         }
@@ -273,15 +274,15 @@
         self.presume_ended(key, self.now.mono);
     }
 
-    /// give_up_worker notes that nothing is expected of a worker any more.
+    /// give_up_worker records that nothing more is expected from a worker.
     fn give_up_worker(&mut self, key: WorkerKey, why: &str) {
         let worker = self.worker_mut(key);
         worker.presence = Presence::Gone;
         worker.presumed_ended = None;
-        // If it shows again, it is in the roster before it gets starts.
+        // If the worker comes back, it must be in the roster before it gets starts.
         worker.rostered = false;
         let text = format!(
-            "worker {} is over: {why}; {} runs ended with it",
+            "worker {} has ended: {why}; {} runs ended with it",
             worker.incarnation(),
             worker.runs.len()
         );
@@ -290,18 +291,18 @@
         self.place_wanted = true;
     }
 
-    /// incarnations returns all lives of workers, also those that are over.
+    /// incarnations returns all incarnations of workers, including those that have ended.
     pub(crate) fn incarnations(&self) -> impl Iterator<Item = WorkerKey> + use<> {
         (0..self.workers.len() as u32).map(WorkerKey)
     }
 
-    /// live_workers returns the workers that are not known to be over.
+    /// live_workers returns the workers that are not known to have ended.
     pub(crate) fn live_workers(&self) -> impl Iterator<Item = WorkerKey> + '_ {
         let alive = |key: &WorkerKey| self.worker(*key).presence != Presence::Gone;
         self.incarnations().filter(alive)
     }
 
-    /// collect_live_workers returns the same as a list, for loops that change workers.
+    /// collect_live_workers returns the same workers as a list, for loops that change them.
     pub(crate) fn collect_live_workers(&self) -> Vec<WorkerKey> {
         self.live_workers().collect()
     }
--- a/crates/stackpier-cell/src/silence.rs
+++ b/crates/stackpier-cell/src/silence.rs
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! When the silence of a worker counts as the end of what runs there.
+//! When the runs of a silent worker count as ended.
 //!
-//! That is once its lease is over and a final hold, sent shortly before, got no answer. An
-//! earlier hold may have been lost while the worker has been in reach since, and it may know
-//! that tasks are done which would start again elsewhere.
+//! They do once the lease of the worker has expired and a final renewal, sent shortly before that,
+//! got no answer. Without the final renewal, an earlier one might just have been lost while the
+//! worker stayed reachable: it may list tasks as done that would then be started again elsewhere.
 
 use stackpier_core::Millis;
 
@@ -13,12 +13,12 @@
     worker::{Presence, Worker},
 };
 
-/// ANSWER_MS is how long a worker that can be reached may take to answer.
+/// ANSWER_MS is how long a reachable worker may take to answer.
 const ANSWER_MS: u64 = 200;
 
 impl Cell {
-    /// check_silence sends a silent worker the final hold before its lease is over, also while
-    /// an earlier one may yet be answered.
+    /// check_silence sends a silent worker the final renewal shortly before its lease expires, even
+    /// while an earlier renewal may still be answered.
     pub(crate) fn check_silence(&mut self, key: WorkerKey) {
         let now = self.now.mono;
         let worker = self.worker(key);
@@ -29,22 +29,22 @@
         }
     }
 
-    /// is_given_up tells whether the silence of a worker counts as the end of what runs there.
-    pub(crate) fn is_given_up(&self, worker: &Worker) -> bool {
+    /// may_presume_ended reports whether the runs of a silent worker count as ended.
+    pub(crate) fn may_presume_ended(&self, worker: &Worker) -> bool {
         let now = self.now.mono;
         let over = self.silence_end(worker).is_some_and(|end| now >= end);
         let unanswered = |sent: Millis| now >= sent.plus(ANSWER_MS);
         over && worker.final_renewal.is_some_and(unanswered)
     }
 
-    /// may_tell_of_earlier tells whether a silent worker may yet answer what an earlier owner
-    /// has there.
-    pub(crate) fn may_tell_of_earlier(&self, worker: &Worker) -> bool {
+    /// may_report_inherited reports whether a silent worker may still report runs or ends of an
+    /// earlier owner.
+    pub(crate) fn may_report_inherited(&self, worker: &Worker) -> bool {
         let uncontacted = worker.presence == Presence::New && worker.is_inherited();
-        uncontacted && worker.silent_since.is_some() && !self.is_given_up(worker)
+        uncontacted && worker.silent_since.is_some() && !self.may_presume_ended(worker)
     }
 
-    /// silence_end returns when the last lease on a silent worker is over.
+    /// silence_end returns when the last lease of a silent worker expires.
     fn silence_end(&self, worker: &Worker) -> Option<Millis> {
         worker.silent_since?;
         match worker.presence {
--- a/crates/stackpier-cell/src/takeover.rs
+++ b/crates/stackpier-cell/src/takeover.rs
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Taking over from an earlier owner, and noticing a later one.
 //!
-//! Jobs accepted under an earlier fence may have runs on workers that have
-//! not answered this owner yet. Their tasks wait until two reports of each such
-//! worker have come, or until everything that the earlier owner leased has ended; and until
-//! that owner was asked for what it could not save.
+//! Jobs accepted under an earlier fence may have runs on workers that have not answered this owner
+//! yet. Their tasks wait until each such worker has sent two reports, or until everything leased by
+//! the earlier owner has expired. They also wait until the earlier owner has been asked for
+//! progress that it could not save.
 //!
-//! A later owner may renew what this one takes for over, and note ends that
-//! this one never sees. A worker that answers this owner has met no later one.
-//! What is read from a silence counts only once the store has confirmed the
-//! ownership after it, and only for a while: a later owner may hear the worker at
-//! any time. A task may wait for room that long, so its start needs a fresh word.
+//! A later owner may renew leases that this owner takes for expired, and may acknowledge ends that
+//! this owner never receives. A worker that answers this owner has not been contacted by a later
+//! one. A conclusion from the silence of a worker is valid only after the store has confirmed the
+//! ownership at a later time, and only briefly, because a later owner may contact the worker at any
+//! moment. A task may wait for free capacity for longer than that, so its start needs a recent
+//! confirmation.
 
 use stackpier_core::Millis;
 
@@ -20,46 +21,48 @@
     worker::{CLOCK_ERROR_MILLI, Inheritance, Presence, Worker},
 };
 
-/// MARGIN_MS is added to the end of an earlier owner's leases, for the flight
-/// of its last call.
+/// MARGIN_MS is added to the end of the leases of an earlier owner, for the time that its last call
+/// may have been on its way.
 const MARGIN_MS: u64 = 500;
-/// GAP_MS is the time between two confirmations from which the store counts as having been
-/// away: an idle owner asks each second, and an answer takes 0.6 s at most.
+/// GAP_MS is the time between two confirmations from which on the store counts as having been
+/// unavailable: an idle owner asks every second, and an answer takes 0.6 s at most.
 const GAP_MS: u64 = 2_500;
-/// MAX_CONFIRMATION_AGE_MS is how old the last sign may be that no later owner has noted the end of a
-/// run, for a start that relies on it. Users bear one within a second after that, and starts
-/// take up to 0.2 s on their way.
+/// MAX_CONFIRMATION_AGE_MS is how old the confirmation may be on which a start relies, that is, the
+/// latest sign that no later owner has acknowledged the end of a run of the task. Users accept a
+/// repeated run up to one second after such an end, and a start takes up to 0.2 s to arrive.
 pub(crate) const MAX_CONFIRMATION_AGE_MS: u64 = 800;
-/// RUNS_PER_OWNER spaces the run numbers of successive owners, so that a new
-/// owner's numbers are above those it can't know.
+/// RUNS_PER_OWNER is the distance between the run numbers of successive owners, so that the numbers
+/// of a new owner are above all those it can't know of.
 const RUNS_PER_OWNER: u64 = 200;
 
-/// Ownership is what an owner knows of its ownership, and of what an earlier owner left.
+/// Ownership is the state of this daemon's ownership of the cell, and of what an earlier owner left
+/// behind.
 #[derive(Debug)]
 pub(crate) struct Ownership {
     /// When the ownership began.
     pub began: Millis,
-    /// When the store last confirmed that this daemon owns the cell.
+    /// When the request was sent that the store last answered by confirming that this daemon owns
+    /// the cell.
     pub confirmed: Millis,
-    /// Since when the store has confirmed that without a gap.
+    /// Since when the store has confirmed the ownership without a gap.
     pub store_since: Millis,
     /// Whether the store is being asked.
     pub confirming: bool,
     /// Whether another daemon is known to own the cell.
     pub deposed: bool,
-    /// Until when runs of an earlier owner may exist on workers that have not
-    /// answered yet.
+    /// Until when runs of an earlier owner may exist on workers that have not answered yet.
     pub inherited_until: Millis,
-    /// Whether it can't be told which workers earlier owners used.
+    /// Whether the workers that earlier owners used are unknown.
     pub roster_unknown: bool,
-    /// Whether the earlier owner is being asked for what it could not save.
+    /// Whether the earlier owner is being asked for progress that it could not save.
     pub awaits_handover: bool,
-    /// Tasks of which a run was taken as ended by a silent worker's lease.
+    /// Tasks with a run that is presumed to have ended because the worker fell silent and its lease
+    /// expired.
     pub presumed_ended: Vec<TaskKey>,
 }
 
 impl Ownership {
-    /// new begins an ownership that the store has just confirmed.
+    /// new returns an ownership that the store has just confirmed.
     pub(crate) fn new(now: Millis, inherited_until: Millis) -> Ownership {
         Ownership {
             began: now,
@@ -74,97 +77,97 @@
         }
     }
 
-    /// had_store_at tells whether the store has confirmed the ownership without a gap until a
-    /// time.
+    /// had_store_at reports whether the store had confirmed the ownership without a gap up to
+    /// `time`.
     fn had_store_at(&self, time: Millis) -> bool {
         time.since(self.confirmed) < GAP_MS
     }
 }
 
 impl Cell {
-    /// inherited_until returns when everything has ended that an earlier owner
-    /// leased, which may act for `acting_ms` more.
+    /// inherited_until returns when all leases of an earlier owner have expired, if that owner may
+    /// act for `acting_ms` more.
     pub(crate) fn inherited_until(options: &Options, now: Millis, acting_ms: u64) -> Millis {
         let lease = options.max_lease_ms + options.max_lease_ms * CLOCK_ERROR_MILLI / 1_000;
         now.plus(acting_ms + lease + MARGIN_MS)
     }
 
-    /// first_run returns the number of a task's first run under this owner.
+    /// first_run returns the number of the first run of a task under this owner.
     pub(crate) fn first_run(&self) -> u32 {
         let earlier = self.fence.saturating_sub(1);
         (earlier * RUNS_PER_OWNER).min(u64::from(u32::MAX / 2)) as u32 + 1
     }
 
-    /// may_start tells whether a job's tasks have no run that this owner can't know of, and no
-    /// end that a later one may know.
+    /// may_start reports whether the tasks of a job have no run that this owner can't know of, and
+    /// no end that a later owner may already have received.
     pub(crate) fn may_start(&self, job: JobKey) -> bool {
         if !self.job(job).inherited {
             return true;
         }
-        let over =
-            self.is_confirmed_after(self.ownership.inherited_until) && !self.awaits_earlier();
+        let over = self.is_confirmed_after(self.ownership.inherited_until)
+            && !self.awaits_inherited_reports();
         let current =
-            self.is_confirmed_lately() || self.has_contacted_all() && !self.has_lost_unheard();
+            self.is_confirmed_lately() || self.has_contacted_all() && !self.has_lost_uncontacted();
         !self.ownership.awaits_handover && (over || self.has_contacted_all()) && current
     }
 
-    /// awaits_earlier tells whether a silent worker may yet answer what an earlier owner has
-    /// there.
-    fn awaits_earlier(&self) -> bool {
+    /// awaits_inherited_reports reports whether a silent worker may still report runs or ends of an
+    /// earlier owner.
+    fn awaits_inherited_reports(&self) -> bool {
         let mut workers = self.workers.iter();
-        workers.any(|worker| self.may_tell_of_earlier(worker))
+        workers.any(|worker| self.may_report_inherited(worker))
     }
 
-    /// has_lost_unheard tells whether a worker died that this owner never heard. An earlier one
-    /// may have heard it, and may tell a later owner.
-    fn has_lost_unheard(&self) -> bool {
-        let unheard = |worker: &Worker| worker.presence == Presence::Gone && worker.clock.is_none();
-        self.workers.iter().any(unheard)
+    /// has_lost_uncontacted reports whether a worker ended without ever answering this owner. An
+    /// earlier owner may have received its reports and may pass them on to a later owner.
+    fn has_lost_uncontacted(&self) -> bool {
+        let uncontacted =
+            |worker: &Worker| worker.presence == Presence::Gone && worker.clock.is_none();
+        self.workers.iter().any(uncontacted)
     }
 
-    /// may_have_ended tells whether a later owner may know by now that a task is done, of
-    /// which this one heard no end.
+    /// may_have_ended reports whether a later owner may already know that a task is done of which
+    /// this owner received no end.
     pub(crate) fn may_have_ended(&self, task: TaskKey) -> bool {
         self.task(task).presumed_ended && !self.is_confirmed_lately()
     }
 
-    /// is_confirmed_lately tells whether no later owner can have heard a worker some time
-    /// ago that did not answer this one.
+    /// is_confirmed_lately reports whether the last confirmation is recent enough to rule out that
+    /// a later owner contacted, some time ago, a worker that did not answer this one.
     fn is_confirmed_lately(&self) -> bool {
         self.now.mono.since(self.ownership.confirmed) < MAX_CONFIRMATION_AGE_MS
     }
 
-    /// knows_roster tells whether the workers that an earlier owner may have used are known,
-    /// as far as anything it leased there may go on.
+    /// knows_roster reports whether this owner knows all workers on which a lease of an earlier
+    /// owner may still be valid.
     pub(crate) fn knows_roster(&self) -> bool {
         !self.ownership.roster_unknown || self.is_confirmed_after(self.ownership.inherited_until)
     }
 
-    /// has_contacted_all tells whether all workers that an earlier owner may have
-    /// used have answered or are dead. One that was given up may still answer a
-    /// later owner.
+    /// has_contacted_all reports whether all workers that an earlier owner may have used have
+    /// answered or are dead. A worker that was given up may still answer a later owner.
     pub(crate) fn has_contacted_all(&self) -> bool {
         !self.ownership.roster_unknown && !self.workers.iter().any(Worker::is_inherited)
     }
 
-    /// is_confirmed_after tells whether the store confirmed the ownership after a
-    /// time: until then no later owner did anything. Times are whole
-    /// milliseconds, so it must have been asked in a later one.
+    /// is_confirmed_after reports whether the store was asked after `time` and confirmed the
+    /// ownership, so that no later owner had acted by then. Times are whole milliseconds, so it
+    /// must have been asked in a later millisecond.
     pub(crate) fn is_confirmed_after(&self, time: Millis) -> bool {
         self.ownership.confirmed > time
     }
 
-    /// presume_ended takes what runs on a worker as ended by a time, though the
-    /// worker did not say so.
+    /// presume_ended marks the runs on a worker as ended by `time`, although the worker has not
+    /// reported their ends.
     pub(crate) fn presume_ended(&mut self, key: WorkerKey, time: Millis) {
         self.worker_mut(key).presumed_ended = Some(time);
-        self.settle(key);
+        self.requeue_presumed_ended(key);
         self.check_confirmed();
     }
 
-    /// settle makes the tasks ready that ran where all has ended unseen, as far
-    /// as no later owner can prove that wrong.
-    fn settle(&mut self, key: WorkerKey) {
+    /// requeue_presumed_ended makes tasks ready again whose runs on a worker are presumed to have
+    /// ended, as far as no later owner can know better.
+    fn requeue_presumed_ended(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         let Some(time) = worker.presumed_ended else {
             return;
@@ -172,9 +175,8 @@
         let owned = self.is_confirmed_after(time);
         let dead = worker.presence == Presence::Gone;
         for run in worker.runs.clone() {
-            // A dead worker runs nothing, whoever owns it. All that a later
-            // owner can know better is that a task was done before, and one
-            // that lasts starts again in any case.
+            // A dead worker runs nothing, whoever owns the cell. A later owner can know at most
+            // that a task was done before, and a long-running task is started again in any case.
             let long_running = self.runs.get(run).is_some_and(|run| run.long_running);
             if owned && !dead && !long_running {
                 self.presume_task_ended(run);
@@ -193,7 +195,7 @@
         }
     }
 
-    /// presume_task_ended notes of a run's task that its worker may still tell of its end.
+    /// presume_task_ended records that the worker of a run may still report its end.
     pub(crate) fn presume_task_ended(&mut self, run: RunKey) {
         let Some(task) = self.runs.get(run).map(|run| run.task) else {
             return;
@@ -204,21 +206,21 @@
         }
     }
 
-    /// settle_all does so for all workers.
-    pub(crate) fn settle_all(&mut self) {
+    /// requeue_all_presumed_ended does the same for all workers.
+    pub(crate) fn requeue_all_presumed_ended(&mut self) {
         for key in self.incarnations() {
-            self.settle(key);
+            self.requeue_presumed_ended(key);
         }
     }
 
-    /// has_authority tells whether the store confirmed the ownership lately
-    /// enough to give orders.
+    /// has_authority reports whether the store confirmed the ownership recently enough to send
+    /// orders.
     pub(crate) fn has_authority(&self) -> bool {
         self.now.mono.since(self.ownership.confirmed) < self.options.authority_ms
     }
 
-    /// set_confirmed sets when the store was asked that last confirmed the
-    /// ownership before the cell was read.
+    /// set_confirmed sets when the request was sent that the store last answered by confirming the
+    /// ownership, before the cell was read.
     pub fn set_confirmed(&mut self, sent: Millis) {
         self.ownership.confirmed = sent;
     }
@@ -228,22 +230,23 @@
         self.record_confirmation(sent);
     }
 
-    /// record_confirmation takes in that the store confirmed the ownership when asked at a time.
+    /// record_confirmation records that the store, asked at `sent`, confirmed the ownership.
     pub(crate) fn record_confirmation(&mut self, sent: Millis) {
         if !self.ownership.had_store_at(sent) {
             self.ownership.store_since = self.now.mono;
         }
         self.place_wanted |= self.waits_for_store();
         self.ownership.confirmed = self.ownership.confirmed.max(sent);
-        self.settle_all();
+        self.requeue_all_presumed_ended();
     }
 
-    /// has_store tells whether the store has confirmed the ownership without a gap until now.
+    /// has_store reports whether the store has confirmed the ownership without a gap until now.
     pub(crate) fn has_store(&self) -> bool {
         self.ownership.had_store_at(self.now.mono)
     }
 
-    /// store_silent_ms returns how long ago the store was asked that last confirmed the ownership.
+    /// store_silent_ms returns the time since the request was sent that the store last answered by
+    /// confirming the ownership.
     pub(crate) fn store_silent_ms(&self) -> u64 {
         self.now.mono.since(self.ownership.confirmed)
     }
@@ -258,29 +261,29 @@
         }
     }
 
-    /// waits_for_store tells whether tasks wait for nothing but the store's
-    /// word.
+    /// waits_for_store reports whether tasks wait only for a confirmation of the store.
     fn waits_for_store(&self) -> bool {
         let now = self.now.mono;
         let over = now >= self.ownership.inherited_until;
         let leases = over && !self.is_confirmed_after(self.ownership.inherited_until);
-        let lost = self.has_lost_unheard() && self.waits_inherited();
-        let unheard = self.waits_presumed_ended() || lost || over && !self.has_contacted_all();
+        let lost = self.has_lost_uncontacted() && self.waits_inherited();
+        let uncertain = self.waits_presumed_ended() || lost || over && !self.has_contacted_all();
         leases
-            || unheard && !self.is_confirmed_lately()
+            || uncertain && !self.is_confirmed_lately()
             || self
                 .workers
                 .iter()
                 .any(|worker| worker.presumed_ended.is_some())
     }
 
-    /// waits_inherited tells whether a task of a job of an earlier owner waits to be placed.
+    /// waits_inherited reports whether a task of an earlier owner's job waits to be placed.
     pub(crate) fn waits_inherited(&self) -> bool {
         self.queued()
             .any(|step| self.job(self.step_of(step).job).inherited)
     }
 
-    /// waits_presumed_ended tells whether a task whose end was not seen waits to be placed.
+    /// waits_presumed_ended reports whether a task with a run that is presumed to have ended waits
+    /// to be placed.
     fn waits_presumed_ended(&self) -> bool {
         self.ownership
             .presumed_ended
@@ -288,7 +291,8 @@
             .any(|task| self.task(*task).ready)
     }
 
-    /// prune_presumed_ended drops the tasks whose end was not seen once they are over.
+    /// prune_presumed_ended drops finished tasks from the list of those with a run presumed to have
+    /// ended.
     pub(crate) fn prune_presumed_ended(&mut self) {
         let mut presumed_ended = std::mem::take(&mut self.ownership.presumed_ended);
         presumed_ended
@@ -296,12 +300,12 @@
         self.ownership.presumed_ended = presumed_ended;
     }
 
-    /// confirm_failed notes that the question to the store got no answer.
+    /// confirm_failed records that the store did not answer the question who owns the cell.
     pub fn confirm_failed(&mut self) {
         self.ownership.confirming = false;
     }
 
-    /// depose notes that another daemon owns the cell.
+    /// depose records that another daemon owns the cell, and drops all pending effects.
     pub fn depose(&mut self) {
         self.ownership.deposed = true;
         self.effects.clear();
--- a/crates/stackpier-cell/src/unanswered.rs
+++ b/crates/stackpier-cell/src/unanswered.rs
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Starts that got no answer, and may be carried out seconds later.
+//! Starts that got no answer and may still be carried out seconds later.
 //!
-//! The worker is told to stop such a run, and refuses it from then on. A life that began since
-//! knows nothing of that, and takes the order, as it names only the worker's id.
+//! The worker is told to stop such a run and refuses it from then on. An incarnation that begins
+//! after that does not know about the stop and would accept the start, because orders name a worker
+//! only by its id.
 
 use stackpier_core::Millis;
 
@@ -11,9 +12,9 @@
     arena::{RunKey, WorkerKey},
 };
 
-/// LATE_MS is how long after it was given up a start may still be carried out: workers do so up
+/// MAX_LATE_MS is how long after it was given up a start may still be carried out. Workers do so up
 /// to twelve seconds late.
-const LATE_MS: u64 = 15_000;
+const MAX_LATE_MS: u64 = 15_000;
 
 /// Unanswered is a start that got no answer.
 #[derive(Debug)]
@@ -24,7 +25,7 @@
 }
 
 impl Cell {
-    /// record_unanswered keeps a start that got no answer.
+    /// record_unanswered records a start that got no answer.
     pub(crate) fn record_unanswered(&mut self, key: RunKey) {
         let Some(run) = self.runs.get(key) else {
             return;
@@ -33,15 +34,16 @@
         let unanswered = Unanswered {
             run: key,
             order: self.order(key),
-            until: now.plus(LATE_MS),
+            until: now.plus(MAX_LATE_MS),
         };
         let kept = &mut self.worker_mut(worker).unanswered;
         kept.retain(|unanswered| now < unanswered.until);
         kept.push(unanswered);
     }
 
-    /// block_unanswered has a later life refuse the starts that got no answer of the earlier one
-    /// and are over by now: it knows nothing of the orders to stop them.
+    /// block_unanswered makes a new incarnation refuse the starts that got no answer from the
+    /// earlier one and whose runs have ended by now. The new incarnation has not received the
+    /// orders to stop them.
     pub(crate) fn block_unanswered(&mut self, earlier: WorkerKey, later: WorkerKey) {
         let now = self.now.mono;
         let mut unanswered = std::mem::take(&mut self.worker_mut(earlier).unanswered);
--- a/crates/stackpier-cell/src/uncontacted.rs
+++ b/crates/stackpier-cell/src/uncontacted.rs
@@ -1,24 +1,25 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Workers that an owner has not met: tasks of earlier jobs wait until each has answered twice.
+//! Workers that a new owner has not contacted yet. The tasks of earlier jobs wait until each of
+//! these workers has answered twice.
 //!
-//! One answer that is lost holds all these tasks up. So such a worker is sent another hold before
-//! the earlier one is given up.
+//! A single lost answer delays all these tasks. Such a worker is therefore sent another renewal
+//! before the earlier one times out.
 
 use crate::{Cell, arena::WorkerKey, worker::Worker};
 
-/// AGAIN_MS is after how long without an answer a worker is asked again.
-const AGAIN_MS: u64 = 300;
-/// MUTE_MS is for how long after a take-over that goes on with workers that have not answered
-/// at all: most of these are gone.
-const MUTE_MS: u64 = 4_000;
-/// MAX_ASKED is how many workers are asked again in a tick.
-const MAX_ASKED: usize = 16;
+/// POLL_AGAIN_MS is the time without an answer after which a worker is polled again.
+const POLL_AGAIN_MS: u64 = 300;
+/// NEVER_ANSWERED_MS is how long after a takeover workers that have never answered are polled
+/// again. Most of them are gone.
+const NEVER_ANSWERED_MS: u64 = 4_000;
+/// MAX_POLLED is how many workers are polled again per tick.
+const MAX_POLLED: usize = 16;
 /// MAX_NAMED is how many workers a log line names.
 const MAX_NAMED: usize = 8;
 
 impl Cell {
-    /// poll_uncontacted asks workers again that have not answered for a while, those asked longest ago
-    /// first.
+    /// poll_uncontacted polls workers again that have not answered for a while, starting with those
+    /// polled longest ago.
     pub(crate) fn poll_uncontacted(&mut self) {
         if !self.awaits_workers() {
             return;
@@ -26,26 +27,26 @@
         let due = |key: &WorkerKey| self.is_due_again(self.worker(*key));
         let mut due: Vec<WorkerKey> = self.live_workers().filter(due).collect();
         due.sort_by_key(|key| self.worker(*key).renewal_sent);
-        for key in due.into_iter().take(MAX_ASKED) {
+        for key in due.into_iter().take(MAX_POLLED) {
             self.send_renewal(key, 0);
         }
     }
 
-    /// log_uncontacted tells which workers tasks of earlier jobs wait for.
+    /// log_uncontacted logs which workers the tasks of earlier jobs wait for.
     pub(crate) fn log_uncontacted(&mut self) {
         if !self.awaits_workers() {
             return;
         }
         let workers = self.live_workers().map(|key| self.worker(key));
         let uncontacted: Vec<&Worker> = workers.filter(|worker| worker.is_inherited()).collect();
-        let mute = uncontacted
+        let never_answered = uncontacted
             .iter()
             .filter(|worker| worker.clock.is_none())
             .count();
         let ids = uncontacted.iter().map(|worker| worker.info.id.as_str());
         let first: Vec<&str> = ids.take(MAX_NAMED).collect();
         let text = format!(
-            "tasks of earlier jobs wait for {} workers, {mute} of which have not answered at all, \
+            "tasks of earlier jobs wait for {} workers, {never_answered} of which have not answered at all, \
              for {} ms more at most: {}",
             uncontacted.len(),
             self.ownership.inherited_until.since(self.now.mono),
@@ -54,16 +55,17 @@
         self.log("takeover", None, text);
     }
 
-    /// awaits_workers tells whether tasks of earlier jobs wait for answers.
+    /// awaits_workers reports whether tasks of earlier jobs wait for answers of workers.
     fn awaits_workers(&self) -> bool {
         let leased = self.now.mono < self.ownership.inherited_until;
         leased && !self.has_contacted_all() && self.waits_inherited()
     }
 
-    /// is_due_again tells whether a worker that was not met is to be asked again.
+    /// is_due_again reports whether a worker that has not been contacted is due to be polled again.
     fn is_due_again(&self, worker: &Worker) -> bool {
         let now = self.now.mono;
-        let may_answer = worker.clock.is_some() || now < self.ownership.began.plus(MUTE_MS);
-        worker.is_inherited() && may_answer && now >= worker.renewal_sent.plus(AGAIN_MS)
+        let may_answer =
+            worker.clock.is_some() || now < self.ownership.began.plus(NEVER_ANSWERED_MS);
+        worker.is_inherited() && may_answer && now >= worker.renewal_sent.plus(POLL_AGAIN_MS)
     }
 }
