--- a/crates/stackpier-cell/src/crash.rs
+++ b/crates/stackpier-cell/src/crash.rs
@@ -4,8 +4,9 @@
 //! Such a task never reports an end: its worker stops answering soon after the start, and every
 //! other run on that worker is lost too. The owner therefore records, per task, the worker
 //! incarnations that started it and fell silent before the run had been there long enough to be
-//! cleared. A worker that answers again, or whose entry is still in the list, has not crashed and
-//! is removed from the record, so network partitions and frozen processes leave no trace.
+//! cleared. A worker has not crashed if it answers again, or if its entry is still in the list when
+//! that of a crashed worker would have expired. It is then removed from the record, so network
+//! partitions and frozen processes leave no trace.
 //!
 //! After the first crash the cause can be any of the recent starts on that worker, so all their
 //! tasks become *suspects*. From then on each start of a suspect is *isolated*: it goes to a worker
@@ -129,20 +130,20 @@
         if self.task(task).done || self.job_of(task).state.is_final() {
             return;
         }
-        let worker_incarnation = self.worker(key).incarnation();
+        let silent_worker = self.worker(key).incarnation();
         let runs = self.worker(key).runs.len();
         let suspect = self.task_mut(task).suspect.get_or_insert_default();
-        if suspect.incarnations.contains(&worker_incarnation) {
+        if suspect.incarnations.contains(&silent_worker) {
             return;
         }
-        suspect.incarnations.push(worker_incarnation.clone());
+        suspect.incarnations.push(silent_worker.clone());
         suspect.span_ms = suspect.span_ms.max(age_ms);
         suspect.alone = alone;
         suspect.unconfirmed |= unconfirmed;
         let crashes = suspect.incarnations.len();
         let text = format!(
-            "run {number} began {age_ms} ms before worker {worker_incarnation} was found silent, with {runs} \
-             runs there; suspected of {crashes} crashes, alone {alone}, confirmed {}",
+            "run {number} began {age_ms} ms before worker {silent_worker} was found silent, with \
+             {runs} runs there; suspected of {crashes} crashes, alone {alone}, confirmed {}",
             !unconfirmed
         );
         self.watch_suspect(task);
@@ -154,12 +155,12 @@
     /// doubt_causes withdraws `alone` from the suspects of a silent worker after another worker
     /// fell silent at about the same time: a failure that both share may be the cause.
     fn doubt_causes(&mut self, key: WorkerKey) {
-        let worker_incarnation = self.worker(key).incarnation();
+        let silent_worker = self.worker(key).incarnation();
         for task in self.suspects.clone() {
             let Some(suspect) = self.task_mut(task).suspect.as_mut() else {
                 continue;
             };
-            if suspect.alone && suspect.incarnations.last() == Some(&worker_incarnation) {
+            if suspect.alone && suspect.incarnations.last() == Some(&silent_worker) {
                 suspect.alone = false;
                 self.mark_dirty(self.step_of(self.task(task).step).job);
             }
@@ -250,7 +251,7 @@
         let before = suspect.incarnations.len();
         suspect
             .incarnations
-            .retain(|worker_incarnation| self.liveness(worker_incarnation) != Liveness::Alive);
+            .retain(|silent_worker| self.liveness(silent_worker) != Liveness::Alive);
         if suspect.incarnations.len() < before {
             self.mark_dirty(job);
             self.place_wanted = true;
@@ -258,7 +259,7 @@
         let crashed = suspect
             .incarnations
             .iter()
-            .all(|worker_incarnation| self.liveness(worker_incarnation) == Liveness::Dead);
+            .all(|silent_worker| self.liveness(silent_worker) == Liveness::Dead);
         if suspect.reaches_limit() && crashed {
             self.give_up_task(task, &suspect);
             return false;
@@ -269,13 +270,13 @@
     }
 
     /// liveness returns what is known about an incarnation that fell silent.
-    fn liveness(&self, worker_incarnation: &Incarnation) -> Liveness {
+    fn liveness(&self, silent_worker: &Incarnation) -> Liveness {
         // Every worker that may be alive is in the list or in the roster.
-        let Some(key) = self.worker_keys.get(&worker_incarnation.id) else {
+        let Some(key) = self.worker_keys.get(&silent_worker.id) else {
             return Liveness::Dead;
         };
         let worker = self.worker(*key);
-        if incarnation::differ(worker.started_at, worker_incarnation.started_at) {
+        if incarnation::differ(worker.started_at, silent_worker.started_at) {
             // Only an answer shows which of the two incarnations is the later one.
             return match worker.presence {
                 Presence::New => Liveness::Unknown,
--- a/crates/stackpier-cell/src/crash/record.rs
+++ b/crates/stackpier-cell/src/crash/record.rs
@@ -45,8 +45,8 @@
     }
 
     /// may_have_crashed_unseen reports whether a task may have crashed a worker under an earlier
-    /// owner that ended before it noticed: no run of the task has ended under this owner, and it
-    /// lacks workers.
+    /// owner that ended before it noticed: no run of the task has ended under this owner, and this
+    /// owner has not received reports from all workers.
     fn may_have_crashed_unseen(&self, task: TaskKey) -> bool {
         let inherited = self.job_of(task).inherited;
         inherited && self.task(task).ended.is_none() && self.misses_workers()
--- a/crates/stackpier-cell/src/handover.rs
+++ b/crates/stackpier-cell/src/handover.rs
@@ -49,7 +49,8 @@
         }
         if !unsaved.is_empty() {
             let text = format!(
-                "an earlier owner had unsaved progress of {} jobs, which shows {done} more tasks as done",
+                "an earlier owner had unsaved progress of {} jobs, which shows {done} more \
+                 tasks as done",
                 unsaved.len()
             );
             self.log("takeover", None, text);
--- a/crates/stackpier-cell/src/renewal.rs
+++ b/crates/stackpier-cell/src/renewal.rs
@@ -24,8 +24,8 @@
 /// and end a run.
 const SHORTEST_RUN_MS: u64 = 100;
 
-/// STORE_SILENT_MS is how long the store must not have answered before the ends that workers may
-/// forget are logged. A busy owner gets an answer several times a second.
+/// STORE_SILENT_MS is the time without an answer of the store after which the log shows what
+/// workers may forget. A busy owner gets an answer several times a second.
 const STORE_SILENT_MS: u64 = 700;
 
 impl Cell {
@@ -108,7 +108,8 @@
         }
         let id = &self.worker(key).info.id;
         let text = format!(
-            "worker {id} may forget ends up to {number}, {silent_ms} ms after the last confirmation by the store; {}",
+            "worker {id} may forget ends up to {number}, {silent_ms} ms after the last \
+             confirmation by the store; {}",
             self.saver.describe()
         );
         self.log("report", None, text);
@@ -116,9 +117,9 @@
 
     /// next_ack returns the number up to which a worker is told to forget its ends, or zero. Each
     /// number is sent only once, because another incarnation that has replaced the worker would
-    /// forget ends of its own that no owner has received. That incarnation can have ends only if it
-    /// took starts that this one is not known to have taken. So while there are such starts, a
-    /// number is sent only if the worker has just answered.
+    /// forget ends of its own that no owner has received. That incarnation can have ends only of
+    /// starts that the known incarnation is not known to have taken. So while there are such
+    /// starts, a number is sent only if the worker has just answered.
     fn next_ack(&self, key: WorkerKey) -> u64 {
         let worker = self.worker(key);
         let now = self.now.mono;
--- a/crates/stackpier-cell/src/restart.rs
+++ b/crates/stackpier-cell/src/restart.rs
@@ -27,8 +27,8 @@
 }
 
 impl Worker {
-    /// has_own_entry reports whether `info` is the entry of this incarnation: that of another one
-    /// may differ in kind.
+    /// has_own_entry reports whether `info` is the entry of this incarnation. The entry of another
+    /// one may describe a different kind of worker.
     pub(crate) fn has_own_entry(&self) -> bool {
         self.announced.is_none() && !differ(self.info.started_at, self.started_at)
     }
@@ -101,8 +101,8 @@
         true
     }
 
-    /// was_ended reports whether an entry is of an incarnation that has been known, and so, as it
-    /// is not the current one, has ended.
+    /// was_ended reports whether an entry is of an incarnation that is already known. It is called
+    /// for entries that are not of the current incarnation, so the one found has ended.
     fn was_ended(&self, info: &Info) -> bool {
         let is_its =
             |worker: &Worker| worker.info.id == info.id && worker.started_at == info.started_at;
--- a/crates/stackpier-cell/src/roster.rs
+++ b/crates/stackpier-cell/src/roster.rs
@@ -202,7 +202,8 @@
         self.poll_uncontacted();
     }
 
-    /// expire_lease ends all runs on a worker whose lease has expired by its own clock.
+    /// expire_lease ends all runs on a worker whose lease must have expired by the worker's own
+    /// clock.
     fn expire_lease(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         let Some(end) = worker.lease_end() else {
@@ -212,7 +213,8 @@
             return;
         }
         let text = format!(
-            "lease of worker {} has expired by the clock of this owner, with {} runs, last renewal sent {} ms ago",
+            "lease of worker {} has expired by this owner's clock, with {} runs, last renewal \
+             sent {} ms ago",
             worker.info.id,
             worker.runs.len(),
             self.now.mono.since(worker.renewal_sent)
--- a/crates/stackpier-cell/src/uncontacted.rs
+++ b/crates/stackpier-cell/src/uncontacted.rs
@@ -46,8 +46,8 @@
         let ids = uncontacted.iter().map(|worker| worker.info.id.as_str());
         let first: Vec<&str> = ids.take(MAX_NAMED).collect();
         let text = format!(
-            "tasks of earlier jobs wait for {} workers, {never_answered} of which have not answered at all, \
-             for {} ms more at most: {}",
+            "tasks of earlier jobs wait for {} workers, {never_answered} of which have not \
+             answered at all, for {} ms more at most: {}",
             uncontacted.len(),
             self.ownership.inherited_until.since(self.now.mono),
             first.join(" ")
@@ -61,7 +61,8 @@
         leased && !self.has_contacted_all() && self.waits_inherited()
     }
 
-    /// is_due_again reports whether a worker that has not been contacted is due to be polled again.
+    /// is_due_again reports whether a worker that has not yet answered twice is due to be polled
+    /// again.
     fn is_due_again(&self, worker: &Worker) -> bool {
         let now = self.now.mono;
         let may_answer =
