--- a/crates/stackpier-cell/src/arena.rs
+++ b/crates/stackpier-cell/src/arena.rs
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Small `Copy` keys of jobs, steps, tasks, workers and images.
 //!
-//! Jobs, steps, tasks and workers are kept for as long as the cell has its
-//! owner, so their keys are plain positions. Runs come and go and use the
-//! arena of `stackpier-core`.
+//! Jobs, steps, tasks and workers are kept until the ownership of the cell ends, so their keys
+//! are plain positions. Runs come and go and use the arena of `stackpier-core`.
 
 use stackpier_core::arena::Index;
 
@@ -21,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey(pub(crate) u32);
 
-/// WorkerKey is the position of one life of a worker.
+/// WorkerKey is the position of one incarnation of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerKey(pub(crate) u32);
 
@@ -29,5 +28,5 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ImageKey(pub(crate) u16);
 
-/// RunKey points to a run that may still hold room on a worker.
+/// RunKey refers to a run that may still hold capacity on a worker.
 pub(crate) type RunKey = Index<Run>;
--- a/crates/stackpier-cell/src/cell.rs
+++ b/crates/stackpier-cell/src/cell.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The cell: its arenas, the dispatch of events, and look-ups.
+//! The cell: its state, the dispatch of events, and lookups.
 
 use std::collections::{HashMap, HashSet};
 
@@ -24,16 +24,16 @@
     worker::Worker,
 };
 
-/// SWEEP_MS is the time between two looks at all runs, for those that stand
-/// still, lag, or are on leaving workers.
+/// SWEEP_MS is the interval between checks of all runs for those that stall, lag, or are on
+/// draining workers.
 const SWEEP_MS: u64 = 150;
-/// GUARANTEED_PART is the part of all ratings, one in so many, that placing tasks that
-/// count may do: most of them find no room before any worker is rated.
-const GUARANTEED_PART: u32 = 4;
-/// FAILED_ON is how many workers a task remembers to have failed on.
-const FAILED_ON: usize = 3;
+/// GUARANTEED_RATING_DIVISOR sets the share of the rating budget, one in this many, for
+/// guaranteed tasks: most of them are found not to fit before any worker is rated.
+const GUARANTEED_RATING_DIVISOR: u32 = 4;
+/// MAX_FAILED_ON bounds how many workers on which it failed a task remembers.
+const MAX_FAILED_ON: usize = 3;
 
-/// Cell is what the owner of a set of workers believes and decides.
+/// Cell holds the owner's view of a set of workers and decides what runs on them.
 pub struct Cell {
     pub(crate) options: Options,
     pub(crate) fence: u64,
@@ -44,59 +44,60 @@
     pub(crate) images: Images,
     pub(crate) jobs: Vec<Job>,
     pub(crate) job_keys: HashMap<key::Job, JobKey>,
-    /// Jobs that are cancelled and not known yet.
+    /// Jobs that were cancelled before this owner knew them.
     pub(crate) cancelled: HashSet<key::Job>,
     pub(crate) steps: Vec<Step>,
     pub(crate) tasks: Vec<Task>,
     pub(crate) runs: Arena<Run>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) worker_keys: HashMap<String, WorkerKey>,
-    /// Steps with tasks to place that count in a worker's room.
+    /// Steps with guaranteed tasks to place.
     pub(crate) guaranteed_queue: Vec<StepKey>,
-    /// Steps with tasks to place that fill.
+    /// Steps with best-effort tasks to place.
     pub(crate) best_effort_queue: Vec<StepKey>,
     /// Steps of rounds that are not due yet.
-    pub(crate) undue: Vec<StepKey>,
-    /// Whether something changed that lets tasks be placed.
+    pub(crate) not_due: Vec<StepKey>,
+    /// Whether a change may allow tasks to be placed.
     pub(crate) place_wanted: bool,
-    /// The passes over steps whose tasks count.
+    /// The placement passes over steps with guaranteed tasks.
     pub(crate) guaranteed_pass: GuaranteedPass,
-    /// The passes over steps whose tasks fill.
+    /// The placement passes over steps with best-effort tasks.
     pub(crate) best_effort_pass: BestEffortPass,
     pub(crate) summary_logged_at: Millis,
-    /// When all runs were last looked at.
+    /// When all runs were last checked.
     pub(crate) swept: Millis,
     pub(crate) model: Model,
     pub(crate) cycle: Cycle,
-    /// When what was learnt was last saved.
+    /// When the learned model was last saved.
     pub(crate) model_saved_at: Millis,
-    /// Plans of operators to take hosts down.
+    /// Operators' plans to take hosts down.
     pub(crate) maintenance: Vec<Rollout>,
-    /// How far an earlier owner came with them.
+    /// The progress of these plans under an earlier owner.
     pub(crate) inherited_maintenance: Vec<Record>,
-    /// From when this owner orders hosts down: two owners don't take turns.
+    /// The earliest time at which this owner takes hosts down. After another owner it first
+    /// waits, because two owners do not coordinate.
     pub(crate) take_downs_from: Millis,
-    /// What short tasks ask for.
+    /// The memory that short tasks ask for.
     pub(crate) short_task_memory: ShortTaskMemory,
     pub(crate) evacuations: Evacuations,
     /// Tasks that may crash the workers that start them.
     pub(crate) suspects: Vec<TaskKey>,
-    /// When workers were last asked for the next starts of suspects.
+    /// When workers were last polled for the next starts of suspects.
     pub(crate) polled_for_suspects: Millis,
     pub(crate) saver: Saver,
     pub(crate) ownership: Ownership,
-    /// The starts that are on their way.
+    /// The starts that are not answered yet.
     pub(crate) flow: Flow,
     pub(crate) effects: Vec<Effect>,
 }
 
 impl Cell {
-    /// new starts the ownership of a cell under `fence`, without jobs or
-    /// workers. `predecessor` tells whether an earlier owner may still act.
+    /// new starts the ownership of a cell under `fence`, without jobs or workers. `predecessor`
+    /// tells whether an earlier owner may still act.
     pub fn new(options: Options, fence: u64, now: Now, predecessor: bool) -> Cell {
         let acting = if predecessor { options.authority_ms } else { 0 };
         let inherited_until = Cell::inherited_until(&options, now.mono, acting);
-        let guaranteed_ratings = options.ratings_per_ms / GUARANTEED_PART;
+        let guaranteed_ratings = options.ratings_per_ms / GUARANTEED_RATING_DIVISOR;
         Cell {
             options,
             fence,
@@ -115,7 +116,7 @@
             worker_keys: HashMap::new(),
             guaranteed_queue: Vec::new(),
             best_effort_queue: Vec::new(),
-            undue: Vec::new(),
+            not_due: Vec::new(),
             place_wanted: false,
             guaranteed_pass: GuaranteedPass::new(Budget::new(guaranteed_ratings, now.mono)),
             best_effort_pass: BestEffortPass::new(Budget::new(
@@ -141,7 +142,7 @@
         }
     }
 
-    /// step takes one event and returns what is to be done.
+    /// step handles one event and returns the effects to carry out.
     pub fn step(&mut self, now: Now, event: Event) -> Vec<Effect> {
         self.now = now;
         match event {
@@ -185,35 +186,35 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// state returns the state of a job that client accounts are shown, or `None` if it is
+    /// state returns the state of a job that client accounts are shown, or `None` if the job is
     /// not known.
     pub fn state(&self, job: key::Job) -> Option<State> {
         let job = self.job(*self.job_keys.get(&job)?);
         (!job.forgotten).then_some(job.visible_state())
     }
 
-    /// waiting returns how many jobs of a queue have not begun.
+    /// waiting returns how many jobs of a queue have not started.
     pub fn waiting(&self, queue: &str) -> u64 {
         let waits = |job: &&Job| job.state == State::Pending && job.queue == queue;
         self.jobs.iter().filter(waits).count() as u64
     }
 
-    /// is_enabled tells whether a mechanism is switched on.
+    /// is_enabled reports whether a mechanism is switched on.
     pub(crate) fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.options.without.contains(mechanism)
     }
 
-    /// fence returns the fence of this ownership.
+    /// fence returns the fencing token of this ownership.
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// running returns how many runs hold room on workers.
+    /// running returns how many runs hold capacity on workers.
     pub fn running(&self) -> usize {
         self.runs.values().count()
     }
 
-    /// workers returns how many workers are not known to be over.
+    /// workers returns how many workers are not known to be gone.
     pub fn workers(&self) -> usize {
         self.live_workers().count()
     }
@@ -224,7 +225,7 @@
         steps.map(|step| self.step_of(step).ready.len()).sum()
     }
 
-    /// ratings returns how many ratings placing has done so far, for measurements.
+    /// ratings returns how many times a worker was rated for a task so far, for measurements.
     pub fn ratings(&self) -> u64 {
         self.guaranteed_pass.budget.done() + self.best_effort_pass.budget.done()
     }
@@ -279,7 +280,7 @@
         self.job(self.step_of(self.task(task).step).job)
     }
 
-    /// step_spec returns the description of a step as it was handed in.
+    /// step_spec returns the description of a step as it was submitted.
     pub(crate) fn step_spec(&self, step: StepKey) -> &stackpier_state::job::Step {
         let step = self.step_of(step);
         &self.job(step.job).spec.steps[usize::from(step.number)]
@@ -297,7 +298,7 @@
         }
     }
 
-    /// find returns the task of a name, if its job is known.
+    /// find returns the task with a name, if its job is known.
     pub(crate) fn find(&self, name: TaskName) -> Option<TaskKey> {
         let job = self.job(*self.job_keys.get(&name.job)?);
         let steps = job.spec.steps.len() as u32;
@@ -317,7 +318,7 @@
         }));
     }
 
-    /// apply_queues takes in the queues as they are configured now.
+    /// apply_queues records the queues as they are configured now.
     fn apply_queues(&mut self, queues: Vec<Queue>) {
         for queue in queues {
             self.queues.insert(queue.name.clone(), queue);
@@ -325,20 +326,20 @@
         self.place_wanted = true;
     }
 
-    /// drop_run forgets a run that is over and frees its room.
+    /// drop_run removes a run that has ended and frees its capacity.
     pub(crate) fn drop_run(&mut self, key: RunKey) -> Option<Run> {
         let run = self.runs.remove(key)?;
         self.worker_mut(run.worker).remove(key, &run);
         let now = self.now.mono;
         let task = self.task_mut(run.task);
         task.runs.retain(|other| *other != key);
-        // A run that never began does not count as one.
+        // A run that never started doesn't change when the task's last run ended.
         if run.confirmed.is_some() {
             task.ended = Some(now);
         }
         let step = self.step_mut(run.step);
         step.runs -= 1;
-        // A run that never began leaves the step waiting for as long as it has.
+        // A run that never started doesn't restart the step's waiting time.
         if run.confirmed.is_some() {
             step.idle_since = now;
         }
@@ -349,8 +350,8 @@
         Some(run)
     }
 
-    /// requeue drops a run that ended without doing its work and makes its
-    /// task ready again, to go on from what it had saved.
+    /// requeue drops a run that ended without finishing its work and makes its task ready
+    /// again, to resume from the run's last checkpoint.
     pub(crate) fn requeue(&mut self, key: RunKey) {
         let Some(run) = self.drop_run(key) else {
             return;
@@ -361,8 +362,8 @@
         self.make_ready(run.task);
     }
 
-    /// keep_checkpoint keeps the progress that a task has saved; that of one
-    /// member serves for its gang.
+    /// keep_checkpoint stores the progress that a task has saved. The checkpoint of one gang
+    /// member applies to the whole gang.
     pub(crate) fn keep_checkpoint(&mut self, task: TaskKey, checkpoint: &str) {
         for member in self.members(task) {
             self.task_mut(member).checkpoint = Some(checkpoint.to_owned());
@@ -370,10 +371,10 @@
         self.mark_dirty(self.step_of(self.task(task).step).job);
     }
 
-    /// fail_on remembers that a task failed on a worker.
-    pub(crate) fn fail_on(&mut self, task: TaskKey, worker: WorkerKey) {
+    /// record_failure_on remembers that a task failed on a worker.
+    pub(crate) fn record_failure_on(&mut self, task: TaskKey, worker: WorkerKey) {
         let places = &mut self.task_mut(task).failed_on;
-        if places.len() == FAILED_ON {
+        if places.len() == MAX_FAILED_ON {
             places.remove(0);
         }
         places.push(worker);
--- a/crates/stackpier-cell/src/crash/deferred.rs
+++ b/crates/stackpier-cell/src/crash/deferred.rs
@@ -22,7 +22,7 @@
         for key in std::mem::take(&mut self.saver.deferred) {
             let save = self.runs.get(key).and_then(|run| run.after_save);
             match save {
-                Some(save) if !self.saver.has_tried(save) => self.saver.deferred.push(key),
+                Some(save) if !self.saver.has_attempted(save) => self.saver.deferred.push(key),
                 Some(_) => self.send_or_requeue(key),
                 None => self.flow.record_answered(key),
             }
--- a/crates/stackpier-cell/src/crash/record.rs
+++ b/crates/stackpier-cell/src/crash/record.rs
@@ -27,7 +27,7 @@
         if !self.may_have_crashed(task) {
             return;
         }
-        let save = self.saver.awaited();
+        let save = self.saver.save_to_await();
         if let Some(run) = self.runs.get_mut(key) {
             run.recorded = true;
             run.after_save = save;
--- a/crates/stackpier-cell/src/drain.rs
+++ b/crates/stackpier-cell/src/drain.rs
@@ -32,7 +32,7 @@
     fn check_leaving(&mut self, worker: WorkerKey, key: RunKey) {
         let now = self.now.mono;
         let entry = self.worker(worker);
-        let seen = entry.drain_seen.unwrap_or(now);
+        let seen = entry.draining_since.unwrap_or(now);
         let stays = entry
             .info
             .remaining_ms
--- a/crates/stackpier-cell/src/event.rs
+++ b/crates/stackpier-cell/src/event.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Events that the cell takes and effects that it returns.
+//! The events that the cell handles and the effects that it returns.
 
 use std::fmt;
 
@@ -24,7 +24,7 @@
     pub unix: Unix,
 }
 
-/// TaskName names a task across owners.
+/// TaskName identifies a task across owners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskName {
     /// The job.
@@ -33,7 +33,7 @@
     pub round: u32,
     /// The step, from zero.
     pub step: u16,
-    /// The task's place in its step, from zero.
+    /// The task's position in its step, from zero.
     pub index: u32,
 }
 
@@ -52,73 +52,73 @@
 /// Event is something that happened, as the owner sees it.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A configuration came into force.
+    /// A configuration took effect.
     Queues(Vec<Queue>),
-    /// The list of workers shows this one.
+    /// The list of workers shows this entry.
     Listed(Info),
-    /// The list of workers no longer shows this one.
+    /// The list of workers no longer shows the worker with this id.
     Unlisted(String),
-    /// The list of workers has an entry of this id that can't be read.
+    /// The list of workers has an entry with this id that can't be read.
     Unreadable(String),
     /// The store holds this job.
     Accepted {
         /// The job.
         job: key::Job,
-        /// What the store keeps of it.
+        /// The job's record in the store.
         record: Box<Record>,
-        /// How far it was under an earlier owner.
+        /// The progress that an earlier owner saved.
         progress: Option<Box<Progress>>,
-        /// Whether its cancelling is in the store.
+        /// Whether the store holds a cancellation of the job.
         cancelled: bool,
     },
-    /// The store holds the cancelling of this job.
+    /// The store holds a cancellation of this job.
     Cancelled(key::Job),
-    /// A start was answered or was not.
+    /// A start was answered, or got no answer.
     Started {
         /// The run.
         run: Index<Run>,
-        /// The answer.
+        /// The outcome.
         outcome: Started,
     },
-    /// A stop was answered or was not.
+    /// A stop was answered, or got no answer.
     Stopped {
         /// The run.
         run: Index<Run>,
-        /// The answer.
+        /// The outcome.
         outcome: Stopped,
     },
-    /// An order on the pace of a run was answered or was not.
+    /// An order for the pace of a run was answered, or got no answer.
     Paced {
         /// The run.
         run: Index<Run>,
-        /// The share that was ordered, from 0 to 100.
+        /// The pace that was ordered, from 0 to 100.
         percent: u8,
-        /// Whether the worker took it.
+        /// Whether the worker accepted it.
         taken: bool,
     },
-    /// A hold was answered or was not.
+    /// A lease renewal was answered, or got no answer.
     Renewed {
         /// The worker.
         worker: WorkerKey,
-        /// When the hold was sent.
+        /// When the renewal was sent.
         sent: Millis,
-        /// The answer.
+        /// The outcome.
         outcome: Renewed,
     },
     /// The adviser answered about a step, or gave no answer.
     Advised(StepKey, Option<Advised>),
     /// Operators want hosts taken down.
     Plan(Plan),
-    /// An order to take a host down was answered or was not.
+    /// An order to take a host down was answered, or got no answer.
     TakenDown(TakeDown, TakenDown),
-    /// A save was answered.
+    /// A save was answered. The value tells whether the store took it.
     Saved(bool),
-    /// The store confirmed, by a read sent at this time, that this daemon
-    /// still owns the cell.
+    /// The store confirmed, by a read sent at this time, that this daemon still owns the cell.
     Confirmed(Millis),
-    /// The earlier owner was asked what it could not save: its answer, nothing if it gave none.
+    /// The predecessor was asked for the progress that it could not save. The list is its
+    /// answer, empty if it gave none.
     PredecessorAnswered(Vec<Unsaved>),
-    /// An earlier owner told unasked what it could not save.
+    /// An earlier owner sent, without being asked, the progress that it could not save.
     HandedOver(Vec<Unsaved>),
     /// Time has passed.
     Tick,
@@ -131,7 +131,7 @@
     pub step: StepKey,
     /// The step's first task.
     pub name: TaskName,
-    /// The ids of the workers in question.
+    /// The ids of the workers to advise on.
     pub workers: Vec<String>,
 }
 
@@ -140,32 +140,32 @@
 pub struct Advised {
     /// The ids of the workers that may run the step, each with its ticket.
     pub good: Vec<(String, String)>,
-    /// How long the tickets hold, in milliseconds.
+    /// How long the tickets are valid, in milliseconds.
     pub valid_ms: u64,
 }
 
 /// Started is the outcome of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Started {
-    /// The run is there.
+    /// The worker has the run.
     Yes,
     /// The worker has seen a higher fence.
     Fenced,
     /// The run's number is not above one that ended there.
     Old,
-    /// The lease was already over when the order arrived.
+    /// The lease had already expired when the order arrived.
     Late,
     /// The task does not fit.
     NoRoom,
-    /// The worker refused it and did nothing, for a while.
+    /// The worker is unhealthy: it refuses starts for a while, and did nothing.
     Unhealthy,
-    /// The ticket does not hold, or none was sent.
+    /// The ticket is not valid, or none was sent.
     NoTicket,
-    /// The worker refused it for good.
+    /// The worker will never accept this start.
     Invalid,
     /// Another worker has the address.
     OtherLife,
-    /// There was no answer: the run may be there, or may come later.
+    /// There was no answer: the run may exist, or may start later.
     Silent,
 }
 
@@ -182,10 +182,10 @@
     Silent,
 }
 
-/// Renewed is the outcome of a hold.
+/// Renewed is the outcome of a lease renewal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Renewed {
-    /// The worker renewed its lease and reported.
+    /// The worker renewed its lease and sent its report.
     Report(Report),
     /// The worker has seen a higher fence.
     Fenced,
@@ -195,18 +195,18 @@
     Silent,
 }
 
-/// Report is a worker's word of what runs and what ended.
+/// Report is what a worker says about its runs and their ends.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// When the life that reports was started, by its wall clock.
+    /// When the incarnation that reports was started, by its wall clock.
     pub started_at: Option<Unix>,
     /// The worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// What runs.
+    /// The runs that are there.
     pub running: Vec<RunStatus>,
-    /// What ended and was not yet noted, in no certain order.
+    /// The ends that are not acknowledged yet, in any order.
     pub ended: Vec<End>,
-    /// Whether these are all such ends: a worker lists a number of them at a time.
+    /// Whether these are all such ends: a worker lists a limited number at a time.
     pub whole: bool,
 }
 
@@ -217,56 +217,56 @@
     pub task: TaskName,
     /// The number of the run.
     pub run: u32,
-    /// The progress that it has saved, empty if there is none.
+    /// The checkpoint that it has saved, empty if there is none.
     pub checkpoint: String,
-    /// How far the run is, from 0 to 100.
+    /// The progress of the run, from 0 to 100.
     pub percent: u8,
-    /// The tail latency in milliseconds of a task that serves; the processor
-    /// in use, in thousandths of a core, of any other.
+    /// For a serving task, the tail latency in milliseconds; for any other, the processors in
+    /// use, in thousandths of a core.
     pub figure: Option<u32>,
 }
 
-/// EndCause tells the way a run ended.
+/// EndCause tells why a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndCause {
-    /// It did its work.
+    /// It finished its work.
     Done,
-    /// It failed by its own or the worker's fault.
+    /// It failed, through its own fault or the worker's.
     Failed,
-    /// It was told to stop.
+    /// It was ordered to stop.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     Alone,
 }
 
-/// End is one run that ended.
+/// End is the end of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct End {
-    /// The worker's count of ends in this life, from one.
+    /// The number of this end, counted by the worker's incarnation from one.
     pub number: u64,
     /// The task.
     pub task: TaskName,
     /// The number of the run.
     pub run: u32,
-    /// The way it ended.
+    /// Why it ended.
     #[serde(rename = "how")]
     pub cause: EndCause,
-    /// The saved progress, empty if there is none.
+    /// The saved checkpoint, empty if there is none.
     pub checkpoint: String,
 }
 
-/// Order names a run on a worker, for the calls that concern it.
+/// Order identifies a run on a worker, for the calls about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The run, for the event that answers.
     pub key: Index<Run>,
     /// The worker's address.
     pub address: String,
-    /// The id of the worker that is meant: all its lives have it.
+    /// The id of the intended worker, which all its incarnations share.
     pub worker_id: String,
     /// The task.
     pub task: TaskName,
@@ -287,9 +287,9 @@
     pub payload: std::rc::Rc<str>,
     /// The end of the lease, by the worker's clock in milliseconds.
     pub deadline_ms: u64,
-    /// The saved progress to resume from.
+    /// The checkpoint to resume from.
     pub checkpoint: Option<String>,
-    /// The adviser's ticket, on queues that have one.
+    /// The adviser's ticket, on queues that have an adviser.
     pub ticket: Option<String>,
 }
 
@@ -300,7 +300,7 @@
     pub order: Order,
 }
 
-/// Pace asks a worker to let a run work at a share.
+/// Pace asks a worker to limit the share of its processors that a run uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pace {
     /// The run.
@@ -318,13 +318,13 @@
     pub data_centre: String,
     /// The worker's address.
     pub address: String,
-    /// The id of the worker that is meant: all its lives have it.
+    /// The id of the intended worker, which all its incarnations share.
     pub worker_id: String,
     /// The owner's fence.
     pub fence: u64,
     /// The end of the lease, by the worker's clock in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The count of ends that are noted and may be forgotten.
+    /// The number up to which ends are acknowledged and may be forgotten.
     pub acked: u64,
     /// How long the answer may wait for an end, in milliseconds.
     pub wait_ms: u64,
@@ -339,21 +339,20 @@
     pub address: String,
 }
 
-/// Save writes progress to the store, under the condition that this daemon
-/// still owns the cell.
+/// Save writes progress to the store, on the condition that this daemon still owns the cell.
 #[derive(Clone, Debug, Default)]
 pub struct Save {
     /// The jobs that changed.
     pub jobs: Vec<(key::Job, Progress)>,
-    /// The workers that may run something, if that list changed.
+    /// The workers that may run something, if the roster changed.
     pub roster: Option<Vec<RosterEntry>>,
-    /// What was learnt, if it is time to save it.
+    /// The learned model, if it is due to be saved.
     pub memory: Option<ModelSnapshot>,
-    /// How far the plans of maintenance are, if that changed.
+    /// The progress of the maintenance plans, if it changed.
     pub maintenance: Option<Vec<maintenance::Record>>,
-    /// Jobs that are over, of which only the state is to be kept.
+    /// Jobs that are over, of which only the state is kept.
     pub trimmed: Vec<key::Job>,
-    /// Jobs whose time of being shown is over.
+    /// Jobs that need not be shown any more and are removed.
     pub forgotten: Vec<key::Job>,
 }
 
@@ -362,22 +361,22 @@
 pub struct Unsaved {
     /// The job.
     pub job: key::Job,
-    /// How far it is.
+    /// The progress.
     pub progress: Progress,
 }
 
-/// LogEntry is a decision worth a log line.
+/// LogEntry is a decision to write to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// The part that decided.
+    /// The component that decided.
     pub part: &'static str,
-    /// The task or job concerned, if one is.
+    /// The task or job concerned, if any.
     pub subject: Option<TaskName>,
-    /// What was decided, and from what.
+    /// What was decided, and on what grounds.
     pub text: String,
 }
 
-/// Effect is something to carry out.
+/// Effect is something that the caller of the cell carries out.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Start a run; answer with [`Event::Started`].
@@ -396,7 +395,7 @@
     Save(Save),
     /// Ask the store who owns the cell; answer with [`Event::Confirmed`].
     Confirm,
-    /// Another daemon owns the cell: carry out nothing more.
+    /// Another daemon owns the cell: carry out no further effects.
     Deposed,
     /// Write a log line.
     Log(LogEntry),
--- a/crates/stackpier-cell/src/handover.rs
+++ b/crates/stackpier-cell/src/handover.rs
@@ -67,7 +67,7 @@
             .collect();
         self.mark_dirty(key);
         for task in &news {
-            self.finish(*task);
+            self.complete_task(*task);
         }
         for checkpoint in &progress.checkpoints {
             self.merge_checkpoint(key, checkpoint);
@@ -83,7 +83,7 @@
             self.merge_failures(key, failures);
         }
         if let Some(task) = news.first() {
-            self.complete_job(*task);
+            self.end_completed_job(*task);
         }
         news.len()
     }
@@ -119,6 +119,6 @@
                 entry.failed_at = now;
             }
         }
-        self.fail_job(task);
+        self.fail_exhausted_job(task);
     }
 }
--- a/crates/stackpier-cell/src/interference.rs
+++ b/crates/stackpier-cell/src/interference.rs
@@ -84,7 +84,7 @@
 
     /// key returns the key of an image.
     pub fn key(&mut self, name: &str) -> ImageKey {
-        ImageKey(self.names.number(name))
+        ImageKey(self.names.intern(name))
     }
 }
 
--- a/crates/stackpier-cell/src/interner.rs
+++ b/crates/stackpier-cell/src/interner.rs
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Names turned into small numbers, so that comparisons are cheap.
+//! Interning of names as small numbers, so that comparisons are cheap.
 
 use std::collections::HashMap;
 
-/// Interner numbers the texts it has seen, from zero.
+/// Interner assigns numbers to texts, from zero.
 #[derive(Debug, Default)]
 pub(crate) struct Interner {
     numbers: HashMap<String, u16>,
 }
 
 impl Interner {
-    /// list returns the texts in the order of their numbers.
+    /// list returns the interned texts in the order of their numbers.
     pub(crate) fn list(&self) -> Vec<String> {
         let mut texts: Vec<(u16, &String)> = self
             .numbers
@@ -21,9 +21,9 @@
         texts.into_iter().map(|(_, text)| text.clone()).collect()
     }
 
-    /// number returns the number of a text, a new one if it was not seen yet.
-    /// Past 65,535 texts all further ones share the last number.
-    pub(crate) fn number(&mut self, text: &str) -> u16 {
+    /// intern returns the number of a text and assigns a new one if the text is new. All texts
+    /// past the first 65,535 share the last number.
+    pub(crate) fn intern(&mut self, text: &str) -> u16 {
         if let Some(number) = self.numbers.get(text) {
             return *number;
         }
--- a/crates/stackpier-cell/src/job.rs
+++ b/crates/stackpier-cell/src/job.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Jobs, steps and tasks as their owner keeps them.
+//! The owner's view of jobs, steps and tasks.
 
 use std::rc::Rc;
 
@@ -24,18 +24,18 @@
     pub state: State,
     /// The state that the store is known to have.
     pub stored: State,
-    /// The first of its steps; those of a round follow each other.
+    /// The first of its steps. The steps of a round are consecutive.
     pub first_step: StepKey,
-    /// The first of its tasks; those of a step follow each other.
+    /// The first of its tasks. The tasks of a step are consecutive.
     pub first_task: TaskKey,
     pub tasks: u32,
     /// Tasks that are not done.
     pub left: u32,
     /// Whether an earlier owner may have started its tasks.
     pub inherited: bool,
-    /// By when it should be done, by the owner's monotonic clock.
+    /// When it should be done, by the owner's monotonic clock.
     pub objective: Millis,
-    /// From when it earns nothing any more.
+    /// When it expires: from then on its result has no value.
     pub expires_at: Millis,
     /// Whether its progress must be saved.
     pub dirty: bool,
@@ -43,19 +43,20 @@
     /// When it reached its final state under this owner.
     pub ended_at: Option<Millis>,
     pub forgotten: bool,
-    /// Whether the log says that it came too late to be of use.
+    /// Whether its expiry was logged.
     pub expiry_logged: bool,
 }
 
 impl Job {
-    /// visible_state returns the state that client accounts are shown. That a job is over holds for
-    /// good, but a successor that does not find it in the store starts its tasks again: it
-    /// did so 4 s after clients had been told, on a day on which the owner lost the store,
-    /// workers crashed and the owner was killed. So an end that is not saved is not shown.
-    /// That costs the time of a save, half of the pause between two and a call to the store by
-    /// what is worked out (some 25 ms), and 0.01 of what
-    /// short jobs earn in the model. A cancelling is in the store before an owner knows of
-    /// it.
+    /// visible_state returns the state that client accounts are shown. A final state must never
+    /// change again, but a successor that does not find it in the store starts the job's tasks
+    /// again. This happened 4 s after clients had seen the final state, when the owner lost the
+    /// store and was killed while workers crashed. So a final state is shown only once it is
+    /// saved.
+    ///
+    /// This delays the answer by one save (calculated: about 25 ms, for half of the pause
+    /// between saves and a call to the store) and costs 0.01 of the goodput of short jobs. A
+    /// cancellation needs no wait: the store has it before the owner knows of it.
     pub(crate) fn visible_state(&self) -> State {
         let backed = self.stored == self.state || self.state == State::Cancelled;
         if self.state.is_final() && !backed {
@@ -80,25 +81,25 @@
     pub blocked_by: u32,
     /// Tasks that wait to be placed.
     pub ready: Vec<TaskKey>,
-    /// Runs of its tasks that may hold room on workers.
+    /// Runs of its tasks that may hold capacity on workers.
     pub runs: u32,
-    /// Since when it has had nothing running, or when its turn came.
+    /// Since when none of its tasks has run, or when it became ready.
     pub idle_since: Millis,
-    /// When its turn came.
+    /// When it became ready.
     pub released: Millis,
-    /// How many workers it has claimed.
+    /// How many workers it has reserved.
     pub reservations: u32,
-    /// Whether the step stands in a queue.
+    /// Whether the step is in a placement queue.
     pub queued: bool,
     /// The longest chain of work from this step on, in milliseconds.
     pub chain_ms: u64,
-    /// Not before this time, by the wall clock in milliseconds.
+    /// The earliest start, by the wall clock in milliseconds.
     pub due_unix_ms: u64,
-    /// The own load of its tasks, if they serve.
+    /// The fitted curve of its own load, if its tasks are serving tasks.
     pub curve: Option<Box<Curve>>,
-    /// What is expected of it.
+    /// The predicted load.
     pub forecast: Option<Forecast>,
-    /// What the adviser said, on queues that have one.
+    /// The adviser's answer, on queues that have an adviser.
     pub advice: Option<Box<Advice>>,
 }
 
@@ -108,28 +109,28 @@
     pub step: StepKey,
     pub index: u32,
     pub done: bool,
-    /// The number of the run that did its work, if this owner saw its end.
+    /// The number of the run that did its work, if this owner saw it end.
     pub done_by: Option<u32>,
     /// The numbers of its failed runs.
     pub failed_runs: Vec<u32>,
-    /// When the last one ended.
+    /// When the last of them ended.
     pub failed_at: Millis,
     /// The number of the next run.
     pub next_run: u32,
-    /// Runs that may still hold room on a worker.
+    /// Runs that may still hold capacity on a worker.
     pub runs: Vec<RunKey>,
     pub checkpoint: Option<String>,
-    /// What speaks for it as the cause of workers' crashes.
+    /// The evidence that it causes workers to crash.
     pub suspect: Option<Box<Suspect>>,
-    /// Whether a run of it was taken as ended by a silent worker's lease, so that a later
-    /// owner may hear from the worker that it was done.
+    /// Whether a run of it was presumed to have ended with a silent worker's lease. A later
+    /// owner may then learn from that worker that the task is done.
     pub presumed_ended: bool,
-    /// Where it failed last, so that the next run goes elsewhere.
+    /// The workers on which it failed last, so that the next run goes elsewhere.
     pub failed_on: Vec<WorkerKey>,
-    /// Not before this time.
+    /// The earliest next start.
     pub not_before: Millis,
     /// When its last run ended.
     pub ended: Option<Millis>,
-    /// Whether it waits in its step's list of ready tasks.
+    /// Whether it is in its step's list of ready tasks.
     pub ready: bool,
 }
--- a/crates/stackpier-cell/src/lib.rs
+++ b/crates/stackpier-cell/src/lib.rs
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The decisions of the daemon that owns a cell.
+//! Scheduling decisions of the daemon that owns a cell.
 //!
-//! A *cell* is a set of workers that one daemon schedules. [`Cell`] holds what
-//! its owner believes of jobs, tasks and workers, and decides what runs where:
-//! `step(now, event)` takes one event and returns the effects to carry out.
-//! Nothing here does I/O or reads a clock.
+//! A *cell* is a set of workers that one daemon schedules. [`Cell`] holds its owner's view of
+//! jobs, tasks and workers, and decides what runs where: `step(now, event)` takes one event and
+//! returns the effects to carry out. Nothing here does I/O or reads a clock.
 //!
-//! The workers are the record of what runs: they refuse orders with a lower
-//! fence, end everything whose lease is over, and list each end until they are
-//! told that it was noted. The store keeps only what no worker knows: jobs,
-//! which tasks are done or failed, and which workers were ever used.
+//! The workers are the source of truth for what runs: they refuse orders with a lower fence,
+//! end everything whose lease has expired, and list each end until the owner acknowledges it.
+//! The store keeps only what no worker knows: jobs, which tasks are done or failed, and which
+//! workers were ever used.
 
 mod advice;
 mod arena;
--- a/crates/stackpier-cell/src/lifecycle.rs
+++ b/crates/stackpier-cell/src/lifecycle.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The life of a job: taken in with its steps and tasks, released step by
-//! step, and ended.
+//! The life cycle of a job: accepted with its steps and tasks, released step by step, and
+//! ended.
 
 use std::rc::Rc;
 
@@ -13,13 +13,13 @@
     job::{Job, Step, Task},
 };
 
-/// LATE_TIMES is how many objectives after its acceptance a job still is of use, by the
-/// users' rules: a seventh of its worth.
-const LATE_TIMES: u64 = 3;
+/// EXPIRY_OBJECTIVES is how many objectives after its acceptance a job expires. By the users'
+/// rules, a job that misses its objective earns a seventh of its value until then.
+const EXPIRY_OBJECTIVES: u64 = 3;
 
 impl Cell {
-    /// accept takes in a job that is in the store, with what an earlier owner
-    /// saved of it. A job that is known already is left as it is.
+    /// accept adds a job that is in the store, with the progress that an earlier owner saved. A
+    /// job that is already known is left unchanged.
     pub(crate) fn accept(
         &mut self,
         id: key::Job,
@@ -28,8 +28,8 @@
         cancelled: bool,
     ) {
         if record.fence > self.fence {
-            // It was accepted under a later owner, which starts its tasks. The watch that
-            // would have told of that owner is another one, and may be seconds late.
+            // The job was accepted under a later owner, which starts its tasks. The watch that
+            // reports that owner is another one, and may be seconds late.
             self.depose();
             return;
         }
@@ -37,7 +37,7 @@
         if self.job_keys.contains_key(&id) || record.is_trimmed() && !progress.is_some_and(over) {
             return;
         }
-        // A later configuration may lack the queue; this owner may never have seen it.
+        // A later configuration may lack the queue, and this owner may never have seen it.
         let queue = &record.queue;
         if !record.is_trimmed() && !self.queues.contains_key(&queue.name) {
             self.queues.insert(queue.name.clone(), queue.clone());
@@ -60,7 +60,7 @@
         let key = JobKey(self.jobs.len() as u32);
         let spec = Rc::new(record.spec.clone());
         self.short_task_memory.record(&spec);
-        let chains = chains(&spec);
+        let chains = longest_chains(&spec);
         let chain = chains.iter().copied().max().unwrap_or(0);
         let job = Job {
             id,
@@ -74,7 +74,7 @@
             left: spec.width() * spec.rounds(),
             inherited: record.fence < self.fence,
             objective: self.objective(record, chain, 1),
-            expires_at: self.objective(record, chain, LATE_TIMES),
+            expires_at: self.objective(record, chain, EXPIRY_OBJECTIVES),
             dirty: false,
             ended_unix_ms: 0,
             ended_at: None,
@@ -92,8 +92,8 @@
         key
     }
 
-    /// objective returns by when a job should be done, or some times as long after its
-    /// acceptance, on the own clock.
+    /// objective returns the time by which a job should be done, by the owner's clock. `times`
+    /// multiplies the time allowed after the job's acceptance.
     fn objective(&self, record: &Record, chain_ms: u64, times: u64) -> Millis {
         let queue = self.queues.get(&record.queue.name);
         let (stretch, target_ms) = queue.map_or((1.0, 0), |queue| (queue.stretch, queue.target_ms));
@@ -104,19 +104,19 @@
 
     /// add_step adds a step with its tasks.
     fn add_step(&mut self, job: JobKey, spec: &Spec, round: u32, number: usize, chain_ms: u64) {
-        let shape = &spec.steps[number];
+        let step_spec = &spec.steps[number];
         let key = StepKey(self.steps.len() as u32);
         let first_task = TaskKey(self.tasks.len() as u32);
-        let serves = shape.long_running && shape.target_ms > 0;
+        let serves = step_spec.long_running && step_spec.target_ms > 0;
         self.steps.push(Step {
             job,
             round,
             number: number as u16,
             first_task,
-            count: shape.count,
-            image: self.images.key(&shape.image),
-            left: shape.count,
-            blocked_by: shape.after.len() as u32,
+            count: step_spec.count,
+            image: self.images.key(&step_spec.image),
+            left: step_spec.count,
+            blocked_by: step_spec.after.len() as u32,
             ready: Vec::new(),
             runs: 0,
             idle_since: self.now.mono,
@@ -130,7 +130,7 @@
             advice: None,
         });
         let first_run = self.first_run();
-        for index in 0..shape.count {
+        for index in 0..step_spec.count {
             self.tasks.push(Task {
                 step: key,
                 index,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// restore takes over what an earlier owner saved of a job.
+    /// restore applies the progress of a job that an earlier owner saved.
     fn restore(&mut self, key: JobKey, progress: &Progress) {
         let now = self.now.mono;
         let job = self.job_mut(key);
@@ -162,10 +162,10 @@
         if is_final {
             job.ended_at = Some(now);
         }
-        for place in (0..count).filter(|place| progress.is_done(*place)) {
-            self.finish_task(TaskKey(first + place));
+        for position in (0..count).filter(|position| progress.is_done(*position)) {
+            self.mark_done(TaskKey(first + position));
         }
-        let within = |place: u32| (place < count).then_some(TaskKey(first + place));
+        let within = |position: u32| (position < count).then_some(TaskKey(first + position));
         for failures in &progress.failures {
             if let Some(task) = within(failures.task) {
                 self.task_mut(task).failed_runs = failures.runs.clone();
@@ -183,7 +183,7 @@
         }
     }
 
-    /// unblock makes the tasks of all steps ready that wait for no other.
+    /// unblock releases all steps that wait for no other step.
     fn unblock(&mut self, key: JobKey) {
         let job = self.job(key);
         let count = job.spec.steps.len() as u32 * job.spec.rounds();
@@ -195,11 +195,11 @@
         }
     }
 
-    /// release makes the tasks of a step ready, once it is due.
+    /// release makes the tasks of a step ready, once the step is due.
     pub(crate) fn release(&mut self, key: StepKey) {
         let due = self.step_of(key).due_unix_ms;
         if due > self.now.unix.0 + self.options.early_ms {
-            self.undue.push(key);
+            self.not_due.push(key);
             return;
         }
         let now = self.now.mono;
@@ -211,24 +211,24 @@
         }
     }
 
-    /// release_due releases the steps of rounds that are due by now.
+    /// release_due releases the steps of rounds that have become due.
     pub(crate) fn release_due(&mut self) {
         let limit = self.now.unix.0 + self.options.early_ms;
-        let undue = std::mem::take(&mut self.undue);
-        for step in undue {
+        let not_due = std::mem::take(&mut self.not_due);
+        for step in not_due {
             if self.job(self.step_of(step).job).state.is_final() {
                 continue;
             }
             if self.step_of(step).due_unix_ms <= limit {
                 self.release(step);
             } else {
-                self.undue.push(step);
+                self.not_due.push(step);
             }
         }
     }
 
-    /// make_ready puts a task into its step's list of tasks to place, unless
-    /// it is done, has a run, or its job is over.
+    /// make_ready adds a task to its step's list of tasks to place, unless the task is done,
+    /// has a run, or its job is over.
     pub(crate) fn make_ready(&mut self, key: TaskKey) {
         let task = self.task(key);
         let step = task.step;
@@ -246,22 +246,22 @@
         self.place_wanted = true;
     }
 
-    /// begin notes that a task of a job has begun.
-    pub(crate) fn begin(&mut self, task: TaskKey) {
+    /// mark_running records that a task of a job has started.
+    pub(crate) fn mark_running(&mut self, task: TaskKey) {
         let job = self.step_of(self.task(task).step).job;
         if self.job(job).state == State::Pending {
             self.job_mut(job).state = State::Running;
         }
     }
 
-    /// finish_task notes that a task is done, and releases the steps that
-    /// waited for it. It returns whether that is news.
-    pub(crate) fn finish_task(&mut self, key: TaskKey) -> bool {
+    /// mark_done marks a task as done, and releases the steps that waited for it. It reports
+    /// whether the task was not done before.
+    pub(crate) fn mark_done(&mut self, key: TaskKey) -> bool {
         if self.task(key).done {
             return false;
         }
-        // It may wait to be placed: a copy has done its work, or the progress of an
-        // earlier owner released its step before it showed the task as done.
+        // The task may be waiting to be placed: a copy has done its work, or the progress saved
+        // by an earlier owner lists a step's predecessors as done before the task itself.
         self.unqueue(key);
         let task = self.task_mut(key);
         task.done = true;
@@ -277,16 +277,19 @@
         true
     }
 
-    /// release_after releases the steps for which `done` was the last one
-    /// they waited for.
+    /// release_after releases the steps for which `done` was the last predecessor.
     fn release_after(&mut self, done: StepKey) {
         let step = self.step_of(done);
         let (number, round) = (step.number, step.round);
         let job = self.job(step.job);
         let (spec, state) = (Rc::clone(&job.spec), job.state);
         let first = job.first_step.0 + round * spec.steps.len() as u32;
-        for (later, shape) in spec.steps.iter().enumerate() {
-            let waits = shape.after.iter().filter(|step| **step == number).count() as u32;
+        for (later, step_spec) in spec.steps.iter().enumerate() {
+            let waits = step_spec
+                .after
+                .iter()
+                .filter(|step| **step == number)
+                .count() as u32;
             if waits == 0 {
                 continue;
             }
@@ -299,7 +302,7 @@
         }
     }
 
-    /// end_job puts a job into a final state and stops what still runs of it.
+    /// end_job puts a job into a final state and stops its remaining runs.
     pub(crate) fn end_job(&mut self, key: JobKey, state: State) {
         let (mono, unix) = (self.now.mono, self.now.unix.0);
         let job = self.job_mut(key);
@@ -314,11 +317,12 @@
             }
         }
         self.mark_dirty(key);
-        self.trim_later(key);
+        self.queue_trim(key);
     }
 
-    /// cancel ends a job that is not over yet. A cancelling may come before its job: it is
-    /// kept, as the store holds both, and messages of two daemons keep no order.
+    /// cancel ends a job that is not over yet. A cancellation may arrive before its job,
+    /// because messages of two daemons keep no order. It is then kept until the store, which
+    /// holds both, shows the job.
     pub(crate) fn cancel(&mut self, id: key::Job) {
         let Some(key) = self.job_keys.get(&id).copied() else {
             self.cancelled.insert(id);
@@ -342,9 +346,9 @@
     }
 }
 
-/// chains returns for each step the longest chain of work that starts with
-/// it, in milliseconds.
-fn chains(spec: &Spec) -> Vec<u64> {
+/// longest_chains returns, for each step, the longest chain of work that starts with it, in
+/// milliseconds.
+fn longest_chains(spec: &Spec) -> Vec<u64> {
     let mut chains = vec![0; spec.steps.len()];
     for number in (0..spec.steps.len()).rev() {
         let follows = |later: &usize| spec.steps[*later].after.contains(&(number as u16));
--- a/crates/stackpier-cell/src/maintenance.rs
+++ b/crates/stackpier-cell/src/maintenance.rs
@@ -132,7 +132,7 @@
         let taken = open.flat_map(|rollout| rollout.hosts.iter().filter(|host| host.is_taken()));
         let taken: HashSet<String> = taken.map(|host| host.name.clone()).collect();
         for worker in &mut self.workers {
-            worker.closed = taken.contains(&worker.info.host);
+            worker.cordoned = taken.contains(&worker.info.host);
         }
     }
 
--- a/crates/stackpier-cell/src/order.rs
+++ b/crates/stackpier-cell/src/order.rs
@@ -90,7 +90,7 @@
             cleared: false,
             recorded: false,
             after_save: None,
-            stop_taken: None,
+            stop_accepted: None,
             stop_sent: false,
             stop_after: Millis(0),
             saved: String::new(),
@@ -101,7 +101,7 @@
             measured: None,
             deviation: 0.0,
             over_since: None,
-            calm_since: None,
+            recovered_since: None,
             pace: 100,
             pace_unknown: false,
             pace_unconfirmed: false,
@@ -121,7 +121,7 @@
         let entry = self.task_mut(task);
         entry.runs.push(key);
         entry.next_run = entry.next_run.max(number + 1);
-        self.begin(task);
+        self.mark_running(task);
         key
     }
 
@@ -148,7 +148,7 @@
         };
         run.phase = Phase::Stopping;
         let dead = self.workers[run.worker.0 as usize].presence == Presence::Gone;
-        let told = run.stop_sent || run.stop_taken.is_some() || now < run.stop_after;
+        let told = run.stop_sent || run.stop_accepted.is_some() || now < run.stop_after;
         if dead || told || !authority {
             return;
         }
@@ -173,7 +173,7 @@
                 if matches!(run.phase, Phase::Starting | Phase::Unsure(_)) {
                     run.phase = Phase::Running;
                 }
-                self.begin(task);
+                self.mark_running(task);
             }
             Started::Silent => {
                 if run.phase == Phase::Starting {
@@ -211,7 +211,7 @@
             Started::Unhealthy => self.worker_mut(worker).health.record_refusal(now),
             Started::Invalid => {
                 self.task_mut(task).not_before = now.plus(INVALID_PAUSE_MS);
-                self.fail_on(task, worker);
+                self.record_failure_on(task, worker);
             }
             _ => {}
         }
@@ -229,7 +229,7 @@
         let worker = run.worker;
         match outcome {
             Stopped::Yes => {
-                run.stop_taken = Some(now);
+                run.stop_accepted = Some(now);
                 self.renew_now(worker);
             }
             Stopped::Silent => run.stop_after = now.plus(retry),
--- a/crates/stackpier-cell/src/place/candidate.rs
+++ b/crates/stackpier-cell/src/place/candidate.rs
@@ -182,7 +182,7 @@
         let queue = self.queues.get(&job.queue)?;
         let (service, advised) = (queue.service.clone(), queue.advised);
         let priority = queue.priority;
-        let service = self.services.number(&service);
+        let service = self.services.intern(&service);
         let entry = self.step_of(step);
         let job = self.job(entry.job);
         let shape = &job.spec.steps[usize::from(entry.number)];
@@ -236,7 +236,7 @@
             },
         };
         if let Some(rack) = shape.rack.clone() {
-            demand.rack = Some(self.racks.number(&rack));
+            demand.rack = Some(self.racks.intern(&rack));
         }
         Some(demand)
     }
@@ -335,7 +335,7 @@
             && worker.has_own_entry()
             && !worker.info.draining
             && !worker.unreadable
-            && !worker.closed
+            && !worker.cordoned
             && listed
             && worker.silent_since.is_none()
     }
--- a/crates/stackpier-cell/src/report.rs
+++ b/crates/stackpier-cell/src/report.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Taking in a worker's report: what runs there, what ended, and what it does not show.
+//! Handling of a worker's report: the runs it shows, the ends it lists, and the runs it lacks.
 
 use stackpier_core::Millis;
 
@@ -10,42 +10,42 @@
     worker::{Clock, Presence},
 };
 
-/// PERCENT_DONE is the percent of a lasting task that is at work.
-const PERCENT_DONE: u8 = 100;
+/// PERCENT_WORKING is the progress that a long-running task reports while it works.
+const PERCENT_WORKING: u8 = 100;
 
 impl Cell {
-    /// apply_report takes in a report that was asked for at `sent`.
+    /// apply_report applies a report that was requested at `sent`.
     pub(crate) fn apply_report(&mut self, key: WorkerKey, sent: Millis, report: Report) {
         if !self.match_incarnation(key, sent, &report) {
             return;
         }
         self.record_contact(key, sent, report.clock_ms);
         self.apply_ends(key, sent, report.ended);
-        let again = self.inherit(key, sent, report.whole);
+        let report_needed = self.update_inheritance(key, sent, report.whole);
         for status in &report.running {
             self.apply_run_status(key, sent, status);
         }
         if report.whole {
-            self.miss_runs(key, sent, &report.running);
+            self.handle_missing_runs(key, sent, &report.running);
         }
         self.mark_contacted(key);
-        // They start where an answer has just come from.
+        // Suspects start on workers that have just answered.
         self.place_wanted |= self.has_waiting_suspects();
         self.learn_from_report(key);
         self.adjust_paces(key);
-        if again || self.worker(key).announced.is_some() {
+        if report_needed || self.worker(key).announced.is_some() {
             self.renew_now(key);
         } else {
             self.schedule_renewal(key);
         }
     }
 
-    /// record_contact takes in that a worker answers, and what its clock shows.
+    /// record_contact records that a worker answered, and the reading of its clock.
     fn record_contact(&mut self, key: WorkerKey, sent: Millis, clock_ms: u64) {
         let at = self.now.mono;
         let worker = self.worker_mut(key);
         worker.clock = Some(Clock { at, ms: clock_ms });
-        // Its report tells better what runs there.
+        // The report shows more exactly what runs there.
         worker.presumed_ended = None;
         worker.reported = sent;
         worker.final_renewal = None;
@@ -56,18 +56,18 @@
         }
     }
 
-    /// inherit takes in what a report shows of an earlier owner's runs, and tells whether
-    /// another one is wanted at once.
-    fn inherit(&mut self, key: WorkerKey, sent: Millis, whole: bool) -> bool {
+    /// update_inheritance records that a report arrived which shows an earlier owner's runs,
+    /// and reports whether another report is needed at once.
+    fn update_inheritance(&mut self, key: WorkerKey, sent: Millis, whole: bool) -> bool {
         let now = self.now.mono;
         let worker = self.worker_mut(key);
         let before = worker.is_inherited();
-        let again = worker.inherit(sent, now, whole);
+        let report_needed = worker.update_inheritance(sent, now, whole);
         self.place_wanted |= before && !self.worker(key).is_inherited();
-        again
+        report_needed
     }
 
-    /// mark_contacted notes that a worker has answered, if that is news.
+    /// mark_contacted records that a worker has answered for the first time.
     fn mark_contacted(&mut self, key: WorkerKey) {
         let worker = self.worker_mut(key);
         if worker.presence == Presence::Contacted {
@@ -84,47 +84,47 @@
         self.place_wanted = true;
     }
 
-    /// apply_run_status takes in one run that a worker reports.
+    /// apply_run_status applies the status of one run in a report.
     fn apply_run_status(&mut self, key: WorkerKey, sent: Millis, status: &RunStatus) {
         let Some(task) = self.find(status.task) else {
-            self.report_unknown(key, status.task);
+            self.log_unknown_run(key, status.task);
             return;
         };
-        let run = match self.run_on(task, key, status.run) {
+        let run = match self.find_run(task, key, status.run) {
             Some(run) => run,
             None => {
                 self.unqueue(task);
                 let run = self.adopt(task, key, status.run);
-                self.judge_adopted(task, run);
+                self.check_adopted(task, run);
                 run
             }
         };
-        self.refresh(run, status);
+        self.update_run(run, status);
         self.clear_run(run, sent);
     }
 
-    fn report_unknown(&mut self, key: WorkerKey, name: TaskName) {
+    fn log_unknown_run(&mut self, key: WorkerKey, name: TaskName) {
         let text = format!(
-            "worker {} runs a task of a job that is not known",
+            "worker {} runs a task of an unknown job",
             self.worker(key).info.id
         );
         self.log("worker", Some(name), text);
     }
 
-    /// judge_adopted stops an adopted run that must not go on.
-    fn judge_adopted(&mut self, task: TaskKey, run: RunKey) {
+    /// check_adopted stops an adopted run that must not go on.
+    fn check_adopted(&mut self, task: TaskKey, run: RunKey) {
         let others = self.task(task).runs.len() > 1;
         let copies = self.step_spec(self.task(task).step).speculative;
         let over = self.task(task).done || self.job_of(task).state.is_final();
-        let text = "run of an earlier owner taken over".to_owned();
+        let text = "adopted a run of an earlier owner".to_owned();
         self.log("takeover", Some(self.name(task)), text);
         if over || (others && !copies) {
             self.stop(run);
         }
     }
 
-    /// run_on returns the run of a task on a worker, by its number.
-    pub(crate) fn run_on(&self, task: TaskKey, worker: WorkerKey, number: u32) -> Option<RunKey> {
+    /// find_run returns the run of a task on a worker, by its number.
+    pub(crate) fn find_run(&self, task: TaskKey, worker: WorkerKey, number: u32) -> Option<RunKey> {
         let here = |key: &&RunKey| {
             let run = self.runs.get(**key);
             run.is_some_and(|run| run.worker == worker && run.number == number)
@@ -132,7 +132,7 @@
         self.task(task).runs.iter().find(here).copied()
     }
 
-    fn refresh(&mut self, key: RunKey, status: &RunStatus) {
+    fn update_run(&mut self, key: RunKey, status: &RunStatus) {
         let now = self.now.mono;
         let Some(run) = self.runs.get(key) else {
             return;
@@ -155,24 +155,24 @@
             run.saved.clone_from(&status.checkpoint);
         }
         if run.serving {
-            let tail = status.figure.filter(|_| status.percent == PERCENT_DONE);
-            run.take_tail(now, tail, target_ms);
+            let tail = status.figure.filter(|_| status.percent == PERCENT_WORKING);
+            run.record_tail(now, tail, target_ms);
         } else {
             run.used_milli = status.figure;
         }
-        self.begin(task);
+        self.mark_running(task);
     }
 
-    /// miss_runs looks at the runs that a report does not show though it was asked for after
-    /// they were known to be there, or known to be refused. Times are whole milliseconds, so
-    /// the report must have been asked for in a later one.
+    /// handle_missing_runs handles runs that a report lacks though it was requested after they
+    /// were confirmed, or after an order to stop them was accepted. Times are whole
+    /// milliseconds, so the report must have been requested in a later one.
     ///
-    /// That a run is not shown does not tell how it ended: its end may be listed later, and
-    /// may be that it is done. So it is told to stop, which bars its number, and its task is
-    /// placed again only if no end is listed within the time that a stop takes. Tasks that
-    /// were placed at once were done twice. A report that lists only some of the ends shows
-    /// nothing of the kind.
-    fn miss_runs(&mut self, key: WorkerKey, sent: Millis, statuses: &[RunStatus]) {
+    /// A missing run may have ended in any way, and may still be listed as done. So it is
+    /// ordered to stop, which makes the worker refuse its number, and its task is placed again
+    /// only if no end is listed within the time that a stop takes. Tasks that were placed again
+    /// at once were done twice. A report that lists only some of the ends says nothing about
+    /// missing runs.
+    fn handle_missing_runs(&mut self, key: WorkerKey, sent: Millis, statuses: &[RunStatus]) {
         for run in self.worker(key).runs.clone() {
             let Some(entry) = self.runs.get(run) else {
                 continue;
@@ -187,15 +187,19 @@
                 Phase::Running if entry.confirmed.is_some_and(|at| sent > at) => {
                     let (number, worker) = (entry.number, self.worker(key));
                     let text = format!(
-                        "run {number} is gone from worker {} without an end; ends up to {} are known",
+                        "run {number} is missing from the report of worker {} and has no listed end; ends up to {} are known",
                         worker.info.id,
                         worker.received.last_contiguous()
                     );
                     self.log("end", Some(name), text);
                     self.stop(run);
                 }
-                Phase::Stopping if self.is_stopped(entry, sent) => {
-                    self.log("end", Some(name), "stopped run is not there".to_owned());
+                Phase::Stopping if self.has_ended(entry, sent) => {
+                    self.log(
+                        "end",
+                        Some(name),
+                        "stopped run is no longer on its worker".to_owned(),
+                    );
                     self.requeue(run);
                 }
                 _ => {}
@@ -203,14 +207,14 @@
         }
     }
 
-    /// is_stopped tells whether a run that a report does not show has ended:
-    /// one that was seen to work has the time a stop takes to list its end.
-    fn is_stopped(&self, run: &Run, sent: Millis) -> bool {
+    /// has_ended reports whether a stopped run that a report lacks has ended. If the run was
+    /// confirmed, its end may be listed for as long as a stop takes.
+    fn has_ended(&self, run: &Run, sent: Millis) -> bool {
         let wait_ms = if run.confirmed.is_some() {
             self.options.stop_ms
         } else {
             0
         };
-        run.stop_taken.is_some_and(|at| sent > at.plus(wait_ms))
+        run.stop_accepted.is_some_and(|at| sent > at.plus(wait_ms))
     }
 }
--- a/crates/stackpier-cell/src/restart.rs
+++ b/crates/stackpier-cell/src/restart.rs
@@ -156,7 +156,7 @@
         let now = self.now.mono;
         let worker = self.worker(key);
         let inherited = worker.is_inherited();
-        if worker.is_responsive() && !worker.closed {
+        if worker.is_responsive() && !worker.cordoned {
             // Before runs move away: what began last may have brought it down.
             self.suspect_runs(key);
             self.worker_mut(key).silent_since = Some(now);
@@ -166,7 +166,7 @@
         self.block_unanswered(key, later);
         self.end_incarnation(key, "it started again");
         if inherited {
-            self.worker_mut(later).inheritance = Inheritance::Unseen;
+            self.worker_mut(later).inheritance = Inheritance::Unreported;
         }
         later
     }
@@ -195,7 +195,7 @@
         };
         self.workers[run.worker.0 as usize].remove(key, run);
         run.worker = to;
-        run.stop_taken = None;
+        run.stop_accepted = None;
         if run.phase == Phase::Running {
             run.phase = Phase::Unsure(now);
         }
--- a/crates/stackpier-cell/src/roster.rs
+++ b/crates/stackpier-cell/src/roster.rs
@@ -33,7 +33,7 @@
         let key = self.add_worker(info);
         let now = self.now.mono;
         let worker = self.worker_mut(key);
-        worker.inheritance = Inheritance::Unseen;
+        worker.inheritance = Inheritance::Unreported;
         worker.rostered = true;
         worker.unlisted_since = Some(now);
         self.renew_now(key);
@@ -52,8 +52,8 @@
             return;
         };
         let (service, rack) = (
-            self.services.number(&info.service),
-            self.racks.number(&info.rack),
+            self.services.intern(&info.service),
+            self.racks.intern(&info.rack),
         );
         let now = self.now.mono;
         if self.announce(key, &info) {
@@ -79,7 +79,7 @@
         self.saver.roster_changed |= stays;
         let worker = self.worker_mut(key);
         if newly_draining {
-            worker.drain_seen = Some(now);
+            worker.draining_since = Some(now);
             let text = format!("worker {} is draining", worker.info.id);
             self.log("worker", None, text);
             self.check_drains();
@@ -97,8 +97,8 @@
     pub(crate) fn add_incarnation(&mut self, started_at: Option<Unix>, info: Info) -> WorkerKey {
         let key = WorkerKey(self.workers.len() as u32);
         let worker = Worker {
-            service: self.services.number(&info.service),
-            rack: self.racks.number(&info.rack),
+            service: self.services.intern(&info.service),
+            rack: self.racks.intern(&info.rack),
             presence: Presence::New,
             started_at,
             announced: None,
@@ -129,12 +129,12 @@
             isolation: None,
             full_until: Millis(0),
             relaxed_start_at: None,
-            closed: false,
+            cordoned: false,
             evacuated: false,
             dedicated: None,
             reservation: None,
             predictions: Vec::new(),
-            drain_seen: info.draining.then_some(self.now.mono),
+            draining_since: info.draining.then_some(self.now.mono),
             info,
         };
         let text = format!(
@@ -266,7 +266,7 @@
             return;
         }
         // One that was taken down on purpose has not crashed.
-        if worker.silent_since.is_none() && !worker.closed {
+        if worker.silent_since.is_none() && !worker.cordoned {
             self.suspect_runs(key);
         }
         self.give_up_worker(key, why);
--- a/crates/stackpier-cell/src/run.rs
+++ b/crates/stackpier-cell/src/run.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Runs, each one start of a task on a worker, with what is reported of them.
+//! Runs: each is one start of a task on a worker, with what the worker reports about it.
 
 use stackpier_core::{Millis, Size};
 
@@ -8,41 +8,42 @@
     interference::{self, load_at},
 };
 
-/// CALM_LOAD is the load below which a task counts as no longer over its
-/// target: 0.86 of it. Figures are rough, and one that falls just below the
-/// target does not show that the task has recovered.
-const CALM_LOAD: f64 = load_at(0.86);
-/// CALM_MS is how long figures must be calm before a task counts as recovered: each
-/// covers half a second, so that the last one shares nothing with the first.
-const CALM_MS: u64 = 500;
-/// SETTLE_MS is how long after its start or a change of pace a run's figures
-/// are not learnt from: they cover the last half second.
+/// RECOVERED_LOAD is the load, at 0.86 of the target, below which a task no longer counts as
+/// over its target. Measurements are noisy, and one just below the target does not show that
+/// the task has recovered.
+const RECOVERED_LOAD: f64 = load_at(0.86);
+/// RECOVERED_MS is how long the load must stay below [`RECOVERED_LOAD`] before a task counts as
+/// recovered. Each measurement covers half a second, so the last one shares no samples with the
+/// first.
+const RECOVERED_MS: u64 = 500;
+/// SETTLE_MS is how long after its start or a change of pace the measurements of a run are
+/// ignored: they cover the last half second.
 const SETTLE_MS: u64 = 600;
-/// WARM_MS is how long after its first figure a serving task's tail is not
-/// learnt from: it begins at nothing.
-const WARM_MS: u64 = 1_200;
-/// PACE_MARGIN is by how many percent of its processors a run may be reported above
-/// its pace before the order is taken to be lost: figures are rough.
-const PACE_MARGIN: u8 = 25;
+/// WARM_UP_MS is how long after its first measurement a serving task's tail latency is ignored:
+/// it starts from zero.
+const WARM_UP_MS: u64 = 1_200;
+/// PACE_MARGIN_PERCENT is how far above its pace, in percent of its processors, a run may be
+/// reported before the order for the pace is taken to be lost: measurements are noisy.
+const PACE_MARGIN_PERCENT: u8 = 25;
 /// MILLI is the number of thousandths in a core.
 const MILLI: f64 = 1_000.0;
 
-/// cores returns the cores that some thousandths of a core are.
+/// cores converts thousandths of a core to cores.
 pub(crate) fn cores(milli: u32) -> f64 {
     f64::from(milli) / MILLI
 }
 
-/// Phase tells what is known of a run.
+/// Phase tells what the owner knows about a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// The start was sent and is not answered.
     Starting,
-    /// The start was not answered in time: the run may be there or not. It is
-    /// looked for in the first report asked for since.
+    /// The start was not answered in time, and the run may exist or not. The first report
+    /// requested after this time shows which.
     Unsure(Millis),
     /// The worker has the run.
     Running,
-    /// The run is to end.
+    /// The run is being stopped.
     Stopping,
 }
 
@@ -62,65 +63,66 @@
     pub(crate) since: Millis,
     /// When the worker confirmed the run.
     pub(crate) confirmed: Option<Millis>,
-    /// Whether a report has shown it, which tells in which life of its worker it runs.
+    /// Whether a report has shown it, which tells in which incarnation of its worker it runs.
     pub(crate) reported: bool,
     /// Whether it is known not to crash its worker.
     pub(crate) cleared: bool,
-    /// Whether its start goes to the store, until it is proved.
+    /// Whether its start is saved to the store until the run is cleared.
     pub(crate) recorded: bool,
-    /// The save that must be done before the start is sent.
+    /// The number of the save that must be done before the start is sent.
     pub(crate) after_save: Option<u64>,
-    /// When the worker took the order to stop it.
-    pub(crate) stop_taken: Option<Millis>,
-    /// Whether an order to stop it is on its way.
+    /// When the worker accepted the order to stop it.
+    pub(crate) stop_accepted: Option<Millis>,
+    /// Whether an order to stop it is in flight.
     pub(crate) stop_sent: bool,
     /// When the order to stop may be sent again.
     pub(crate) stop_after: Millis,
-    /// The progress that it had saved by the last report.
+    /// The checkpoint that it had saved by the last report.
     pub(crate) saved: String,
     pub(crate) percent: u8,
-    /// When the percent last changed.
+    /// When the percentage last changed.
     pub(crate) progressed_at: Millis,
-    /// The processor in use as last reported, in thousandths of a core.
+    /// The processors in use as last reported, in thousandths of a core.
     pub(crate) used_milli: Option<u32>,
-    /// The load of a serving task, by its tail as last reported.
+    /// The load of a serving task, from its last reported tail latency.
     pub(crate) load: Option<f64>,
-    /// Since when its tail has been reported.
+    /// Since when its tail latency has been reported.
     pub(crate) measured: Option<Millis>,
-    /// How far its load lies above what is expected, smoothed.
+    /// The smoothed excess of its load over the prediction.
     pub(crate) deviation: f64,
-    /// Since when the tail has been over its target.
+    /// Since when the tail latency has been over its target.
     pub(crate) over_since: Option<Millis>,
-    /// Since when, while it counts as over its target, all figures were calm.
-    pub(crate) calm_since: Option<Millis>,
-    /// The pace it was told, from 0 to 100.
+    /// Since when all measurements of a task that counts as over its target were below
+    /// [`RECOVERED_LOAD`].
+    pub(crate) recovered_since: Option<Millis>,
+    /// The pace that it was set to, from 0 to 100.
     pub(crate) pace: u8,
-    /// Whether an earlier owner may have told it another pace.
+    /// Whether an earlier owner may have set another pace.
     pub(crate) pace_unknown: bool,
-    /// Whether the worker may not have taken the last order on its pace.
+    /// Whether the worker may have missed the last order for its pace.
     pub(crate) pace_unconfirmed: bool,
-    /// When it was told a pace.
+    /// When its pace was last set.
     pub(crate) paced_at: Millis,
     /// Since when its pace has been low.
     pub(crate) slowed_since: Option<Millis>,
 }
 
 impl Run {
-    /// take_tail takes in a reading of a serving task's tail latency.
-    pub(crate) fn take_tail(&mut self, now: Millis, tail_ms: Option<u32>, target_ms: u32) {
+    /// record_tail records a measurement of a serving task's tail latency.
+    pub(crate) fn record_tail(&mut self, now: Millis, tail_ms: Option<u32>, target_ms: u32) {
         let Some(tail_ms) = tail_ms.filter(|tail_ms| *tail_ms > 0) else {
             self.load = None;
             self.measured = None;
             self.over_since = None;
-            self.calm_since = None;
+            self.recovered_since = None;
             return;
         };
         let load = interference::load(tail_ms, target_ms);
         self.load = Some(load);
         self.measured.get_or_insert(now);
-        if load >= CALM_LOAD {
-            self.calm_since = None;
-        } else if now.since(*self.calm_since.get_or_insert(now)) >= CALM_MS {
+        if load >= RECOVERED_LOAD {
+            self.recovered_since = None;
+        } else if now.since(*self.recovered_since.get_or_insert(now)) >= RECOVERED_MS {
             self.over_since = None;
         }
         if tail_ms > target_ms && self.over_since.is_none() {
@@ -128,43 +130,41 @@
         }
     }
 
-    /// settled_load returns the load of a serving task that has been measured
-    /// for long enough.
+    /// settled_load returns the load of a serving task that has been measured for long enough.
     pub(crate) fn settled_load(&self, now: Millis) -> Option<f64> {
         let measured = self.measured?;
-        self.load.filter(|_| now.since(measured) >= WARM_MS)
+        self.load.filter(|_| now.since(measured) >= WARM_UP_MS)
     }
 
-    /// is_settled tells whether a report's figures are of the run's present
-    /// pace.
+    /// is_settled reports whether the measurements in a report reflect the run's present pace.
     pub(crate) fn is_settled(&self, now: Millis) -> bool {
         now.since(self.since.max(self.paced_at)) >= SETTLE_MS
     }
 
-    /// exceeds_pace tells whether a report shows clearly more processors in use than
-    /// the run's pace allows.
+    /// exceeds_pace reports whether a report shows clearly more processors in use than the
+    /// run's pace allows.
     pub(crate) fn exceeds_pace(&self, now: Millis) -> bool {
-        let allowed = u32::from((self.pace + PACE_MARGIN).min(100));
+        let allowed = u32::from((self.pace + PACE_MARGIN_PERCENT).min(100));
         let most_milli = u64::from(self.size.milli_cores) * u64::from(allowed) / 100;
         let over = |used_milli: u32| u64::from(used_milli) > most_milli;
         self.pace < 100 && self.is_settled(now) && self.used_milli.is_some_and(over)
     }
 
-    /// is_unconfirmed tells whether it is not known if the run is there, so that reports
-    /// are wanted soon.
+    /// is_unconfirmed reports whether it is unknown if the run exists, so that reports are
+    /// needed soon.
     pub(crate) fn is_unconfirmed(&self) -> bool {
         let stops = self.phase == Phase::Stopping && self.confirmed.is_none();
         stops || matches!(self.phase, Phase::Unsure(_))
     }
 
-    /// is_recorded tells whether a successor is to know of the start: it may yet crash the
-    /// worker.
+    /// is_recorded reports whether a successor must know about the start, because the run may
+    /// still crash its worker.
     pub(crate) fn is_recorded(&self) -> bool {
         self.recorded && !self.cleared
     }
 
-    /// guaranteed_size returns what the run takes of a worker's room: the processors
-    /// of a filling run are not counted.
+    /// guaranteed_size returns what the run takes of a worker's capacity. The processors of a
+    /// best-effort run are not included.
     pub(crate) fn guaranteed_size(&self) -> Size {
         let mut size = self.size;
         if self.best_effort {
@@ -178,7 +178,7 @@
         cores(self.size.milli_cores)
     }
 
-    /// cores returns the processors it is taken to use, at its pace.
+    /// cores returns the processors it is assumed to use, at its pace.
     pub(crate) fn cores(&self, now: Millis) -> f64 {
         let declared = self.full_cores() * f64::from(self.pace) / 100.0;
         match self.used_milli {
--- a/crates/stackpier-cell/src/save.rs
+++ b/crates/stackpier-cell/src/save.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Saving progress to the store: jobs that changed go together, one save at a
-//! time. Ends are told to be noted only after the save that holds them.
+//! Saving progress to the store. Changed jobs are saved together, one save at a time. Ends are
+//! acknowledged only after the save that contains them.
 
 use stackpier_core::Millis;
 use stackpier_state::job::{Checkpoint, Failures, Progress, State};
@@ -13,25 +13,25 @@
 
 /// FORGOTTEN_PER_SAVE bounds the jobs removed from the store in one save.
 const FORGOTTEN_PER_SAVE: usize = 20;
-/// LEASE_MARGIN_PART is the part of a lease, one in so many, that is waited for beyond it:
-/// workers' clocks may be 2% slow, and the last call of an owner takes its time.
-const LEASE_MARGIN_PART: u64 = 10;
-/// TRIMMED_PER_SAVE bounds the jobs trimmed in one save: what one transaction takes.
+/// LEASE_MARGIN_DIVISOR sets the margin added to a lease, one part in this many of it: workers'
+/// clocks may be 2% slow, and the last call of an owner takes time.
+const LEASE_MARGIN_DIVISOR: u64 = 10;
+/// TRIMMED_PER_SAVE bounds the jobs trimmed in one save, by the size limit of one transaction.
 const TRIMMED_PER_SAVE: usize = 30;
 
-/// Saver tracks what is to be saved and what is on its way.
+/// Saver tracks what must be saved and what is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Saver {
     dirty: Vec<JobKey>,
-    /// Jobs whose removal from the store is due.
+    /// Jobs to remove from the store.
     forgotten: Vec<JobKey>,
-    /// Jobs that are over and of which the store still keeps all.
+    /// Jobs that are over but not yet trimmed in the store.
     ended: Vec<JobKey>,
     pub roster_changed: bool,
     pub maintenance_changed: bool,
-    /// Saves that were sent.
+    /// The number of saves sent.
     sent: u64,
-    /// Saves that were acknowledged.
+    /// The number of the last save that the store acknowledged.
     done: u64,
     in_flight: Option<InFlight>,
     not_before: Millis,
@@ -39,11 +39,11 @@
     failed: bool,
     /// Runs whose start waits for a save.
     pub deferred: Vec<RunKey>,
-    /// Workers with ends that are not noted.
+    /// Workers with ends that are not acknowledged.
     pub unacked: Vec<WorkerKey>,
 }
 
-/// Sent is a job in a save, with its state as it is saved.
+/// Sent is a job in a save, with its state as saved.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
     job: JobKey,
@@ -62,33 +62,33 @@
 }
 
 impl Saver {
-    /// next returns the number of the save that will hold a change made now.
+    /// next returns the number of the save that will contain a change made now.
     pub(crate) fn next(&self) -> u64 {
         self.sent + 1
     }
 
-    /// awaited returns the number of the save that a start made now has to wait for: none if
-    /// the store did not take the last one, as it may be away for long.
-    pub(crate) fn awaited(&self) -> Option<u64> {
+    /// save_to_await returns the number of the save that a start made now waits for. There is
+    /// none if the last save failed: the store may be unavailable for long.
+    pub(crate) fn save_to_await(&self) -> Option<u64> {
         (!self.failed).then_some(self.next())
     }
 
-    /// has_tried tells whether a save was made, successfully or not.
-    pub(crate) fn has_tried(&self, number: u64) -> bool {
+    /// has_attempted reports whether a save was attempted, successfully or not.
+    pub(crate) fn has_attempted(&self, number: u64) -> bool {
         self.sent >= number && !self.is_busy()
     }
 
-    /// is_busy tells whether a save is on its way.
+    /// is_busy reports whether a save is in flight.
     pub(crate) fn is_busy(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// is_idle tells whether there is nothing to save, nor on its way.
+    /// is_idle reports whether nothing must be saved or is in flight.
     fn is_idle(&self) -> bool {
         self.is_empty() && !self.is_busy()
     }
 
-    /// unsaved returns the jobs whose progress the store is not known to have.
+    /// unsaved returns the jobs whose progress the store may lack.
     pub(crate) fn unsaved(&self) -> Vec<JobKey> {
         let under_way = self.in_flight.iter().flat_map(|sent| &sent.jobs);
         let mut jobs: Vec<JobKey> = under_way.map(|sent| sent.job).collect();
@@ -98,11 +98,11 @@
         jobs
     }
 
-    /// describe tells how far the saves are, for the log.
+    /// describe describes the progress of the saves for the log.
     pub(crate) fn describe(&self) -> String {
         let under_way = self.in_flight.as_ref().map_or(0, |sent| sent.jobs.len());
         format!(
-            "save {} of {} is done, {} jobs wait for the next one and {under_way} are on their way",
+            "save {} of {} is done, {} jobs are queued for the next one and {under_way} are in flight",
             self.done,
             self.sent,
             self.dirty.len()
@@ -110,16 +110,16 @@
     }
 
     fn is_empty(&self) -> bool {
-        !self.roster_changed && self.is_empty_beside_roster()
+        !self.roster_changed && self.is_empty_except_roster()
     }
 
-    fn is_empty_beside_roster(&self) -> bool {
+    fn is_empty_except_roster(&self) -> bool {
         self.dirty.is_empty() && self.forgotten.is_empty() && !self.maintenance_changed
     }
 }
 
 impl Cell {
-    /// mark_dirty notes that a job's progress must be saved.
+    /// mark_dirty records that a job's progress must be saved.
     pub(crate) fn mark_dirty(&mut self, key: JobKey) {
         if !self.job(key).dirty {
             self.job_mut(key).dirty = true;
@@ -127,15 +127,15 @@
         }
     }
 
-    /// save sends what changed, if no save is on its way.
+    /// save sends what changed, unless a save is in flight.
     pub(crate) fn save(&mut self) {
         let now = self.now.mono;
         if self.saver.is_busy() || now < self.saver.not_before {
             return;
         }
         let roster_sent = self.is_roster_due();
-        if !roster_sent && self.saver.is_empty_beside_roster() {
-            self.ack_all();
+        if !roster_sent && self.saver.is_empty_except_roster() {
+            self.ack_saved_ends();
             return;
         }
         let keys = std::mem::take(&mut self.saver.dirty);
@@ -163,7 +163,7 @@
         let save = Save {
             jobs,
             memory: self.snapshot_if_due(),
-            roster: roster_sent.then(|| roster.iter().map(|key| self.entry(*key)).collect()),
+            roster: roster_sent.then(|| roster.iter().map(|key| self.roster_entry(*key)).collect()),
             maintenance: maintenance_sent.then(|| self.maintenance_records()),
             trimmed: trimmed.iter().map(|key| self.job(*key).id).collect(),
             forgotten: forgotten.iter().map(|key| self.job(*key).id).collect(),
@@ -181,40 +181,41 @@
         self.effects.push(Effect::Save(save));
     }
 
-    /// is_roster_due tells whether the roster is to be saved. One that lacks workers which an
-    /// earlier owner may have used would tell the next owner not to wait for them.
+    /// is_roster_due reports whether the roster must be saved. A roster that lacks workers
+    /// which an earlier owner may have used is not saved: the next owner would not wait for
+    /// them.
     fn is_roster_due(&self) -> bool {
         self.saver.roster_changed && self.knows_roster()
     }
 
-    /// trim_later notes that a job is over: once its state is saved and nothing runs of it any
-    /// more, the store needs to keep no more than that. A successor reads two kilobytes for
-    /// each job that is not trimmed: 195 jobs took it 2.4 s on a link of 2 Mbit/s, while it
-    /// was silent and lost the cell to the next.
-    pub(crate) fn trim_later(&mut self, key: JobKey) {
+    /// queue_trim records that a job is over. Once its state is saved and none of its runs is
+    /// left, the store needs to keep only the state. A successor reads 2 kB for each job that
+    /// is not trimmed: 195 such jobs took 2.4 s on a link of 2 Mbit/s, during which it did not
+    /// answer and lost the cell to the next owner.
+    pub(crate) fn queue_trim(&mut self, key: JobKey) {
         self.saver.ended.push(key);
     }
 
-    /// take_trimmed returns jobs to trim with a save, other than those whose state is in it.
+    /// take_trimmed returns jobs to trim in a save, except those whose state is in that save.
     fn take_trimmed(&mut self, saved: &[JobKey]) -> Vec<JobKey> {
         let ended = std::mem::take(&mut self.saver.ended);
-        let may = |key: &JobKey| !saved.contains(key) && self.is_trimmable(*key);
-        let (mut due, mut later): (Vec<_>, Vec<_>) = ended.into_iter().partition(may);
+        let is_due = |key: &JobKey| !saved.contains(key) && self.is_trimmable(*key);
+        let (mut due, mut later): (Vec<_>, Vec<_>) = ended.into_iter().partition(is_due);
         later.extend(due.drain(due.len().min(TRIMMED_PER_SAVE)..));
         later.retain(|key| !self.job(*key).forgotten);
         self.saver.ended = later;
         due
     }
 
-    /// is_trimmable tells whether nothing runs of a job, also where this owner can't see
-    /// it: a successor could not stop it. Runs that only an earlier owner knew, or that are
-    /// on workers that do not answer, end with their leases.
+    /// is_trimmable reports whether nothing of a job can run any more, even where this owner
+    /// can't see it: a successor could not stop it. Runs that only an earlier owner knew, and
+    /// runs on workers that do not answer, end with their leases.
     fn is_trimmable(&self, key: JobKey) -> bool {
         let job = self.job(key);
-        let lease_ms = self.options.max_lease_ms + self.options.max_lease_ms / LEASE_MARGIN_PART;
-        let lapsed = |at: Millis| self.is_confirmed_after(at.plus(lease_ms));
+        let lease_ms = self.options.max_lease_ms + self.options.max_lease_ms / LEASE_MARGIN_DIVISOR;
+        let expired = |at: Millis| self.is_confirmed_after(at.plus(lease_ms));
         if !self.is_confirmed_after(self.ownership.inherited_until)
-            || !job.ended_at.is_some_and(lapsed)
+            || !job.ended_at.is_some_and(expired)
         {
             return false;
         }
@@ -232,7 +233,7 @@
         self.live_workers().filter(known).collect()
     }
 
-    fn entry(&self, key: WorkerKey) -> RosterEntry {
+    fn roster_entry(&self, key: WorkerKey) -> RosterEntry {
         let info = &self.worker(key).info;
         RosterEntry {
             id: info.id.clone(),
@@ -240,7 +241,7 @@
         }
     }
 
-    /// progress returns what the store is to keep of a job.
+    /// progress returns what the store must keep of a job.
     pub(crate) fn progress(&self, key: JobKey) -> Progress {
         let job = self.job(key);
         let mut progress = Progress {
@@ -248,25 +249,28 @@
             ended_ms: job.ended_unix_ms,
             ..Progress::default()
         };
-        for place in 0..job.tasks {
-            let key = TaskKey(job.first_task.0 + place);
+        for position in 0..job.tasks {
+            let key = TaskKey(job.first_task.0 + position);
             let task = self.task(key);
             if task.done {
-                progress.set_done(place);
+                progress.set_done(position);
                 continue;
             }
             if !task.failed_runs.is_empty() {
                 progress.failures.push(Failures {
-                    task: place,
+                    task: position,
                     runs: task.failed_runs.clone(),
                 });
             }
             let wanted = !job.state.is_final();
             if wanted {
-                progress.suspects.extend(self.saved_suspect(key, place));
+                progress.suspects.extend(self.saved_suspect(key, position));
             }
             if let Some(text) = task.checkpoint.clone().filter(|_| wanted) {
-                progress.checkpoints.push(Checkpoint { task: place, text });
+                progress.checkpoints.push(Checkpoint {
+                    task: position,
+                    text,
+                });
             }
         }
         progress
@@ -279,7 +283,7 @@
         };
         self.saver.failed = !done;
         if !done {
-            self.resave(sent);
+            self.requeue_save(sent);
             self.send_deferred();
             return;
         }
@@ -296,12 +300,12 @@
                 self.place_wanted = true;
             }
         }
-        self.ack_all();
+        self.ack_saved_ends();
         self.send_deferred();
     }
 
-    /// resave keeps what a failed save held for the next one.
-    fn resave(&mut self, sent: InFlight) {
+    /// requeue_save returns the contents of a failed save to the next one.
+    fn requeue_save(&mut self, sent: InFlight) {
         for Sent { job, .. } in sent.jobs {
             self.mark_dirty(job);
         }
@@ -310,7 +314,7 @@
         self.saver.roster_changed |= sent.roster_sent;
         self.saver.maintenance_changed |= sent.maintenance_sent;
         self.saver.not_before = self.now.mono.plus(self.options.save_retry_ms);
-        // The ends it held wait for the next save.
+        // The ends in the failed save wait for the next one.
         let next = self.saver.next();
         for worker in &mut self.workers {
             if worker.has_unacked_ends() {
@@ -319,14 +323,14 @@
         }
     }
 
-    /// has_stored_ends tells whether the store has all ends that a worker has listed. It may
-    /// have to keep them still, where others are missing below them.
+    /// has_stored_ends reports whether the store has all ends that a worker has listed. The
+    /// worker may have to keep them all the same, if ends with lower numbers are missing.
     pub(crate) fn has_stored_ends(&self, worker: &Worker) -> bool {
         self.saver.is_idle() || worker.ack_after_save <= self.saver.done
     }
 
-    /// ack_all lets workers forget the ends that are saved.
-    fn ack_all(&mut self) {
+    /// ack_saved_ends acknowledges the ends that are saved, so that workers may forget them.
+    fn ack_saved_ends(&mut self) {
         if self.saver.unacked.is_empty() {
             return;
         }
--- a/crates/stackpier-cell/src/speculate.rs
+++ b/crates/stackpier-cell/src/speculate.rs
@@ -68,7 +68,7 @@
         let text = format!("stopped: no progress at {}% for {still_ms} ms", run.percent);
         self.log("stall", Some(self.name(task)), text);
         self.worker_mut(worker).health.record_stall(now);
-        self.fail_on(task, worker);
+        self.record_failure_on(task, worker);
         self.stop(key);
     }
 
--- a/crates/stackpier-cell/src/worker.rs
+++ b/crates/stackpier-cell/src/worker.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Workers as the owner keeps them, with their leases.
+//! The owner's view of workers and their leases.
 
 use stackpier_core::{Incarnation, Millis, Size, Unix};
 
@@ -9,61 +9,62 @@
     unanswered::Unanswered,
 };
 
-/// CLOCK_ERROR_MILLI is how much slower than true time a worker's clock may
-/// run, in thousandths, with a margin: the platform allows 2%.
+/// CLOCK_ERROR_MILLI is how much slower than true time a worker's clock may run, in
+/// thousandths. The platform allows 2%; the rest is a margin.
 pub(crate) const CLOCK_ERROR_MILLI: u64 = 21;
-/// LAPSE_MARGIN_MS is added to the end of a lease before its runs are taken
-/// to be over: the worker ends them a moment after.
-const LAPSE_MARGIN_MS: u64 = 200;
+/// LEASE_END_MARGIN_MS is added to the end of a lease before its runs are presumed to have
+/// ended: the worker ends them shortly after the lease expires.
+const LEASE_END_MARGIN_MS: u64 = 200;
 
-/// Info is what the list of workers shows of one.
+/// Info is a worker's entry in the list of workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Info {
     /// The id of the worker.
     pub id: String,
-    /// When this life of it was started, by its wall clock: that tells lives of one id apart.
+    /// When this incarnation was started, by its wall clock: this tells incarnations with the
+    /// same id apart.
     pub started_at: Option<Unix>,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it takes orders.
+    /// The address at which it takes orders.
     pub address: String,
     /// Its data centre.
     pub data_centre: String,
-    /// What it offers.
+    /// Its total capacity.
     pub capacity: Size,
-    /// Its kind and whatever else tasks may ask for.
+    /// Its kind and any other labels that tasks may ask for.
     pub labels: Vec<String>,
     /// Its rack.
     pub rack: String,
-    /// The host that this life runs on.
+    /// The host that this incarnation runs on.
     pub host: String,
     /// Whether it is about to leave.
     pub draining: bool,
-    /// The least time until a draining worker leaves, in milliseconds.
+    /// The minimum time until a draining worker leaves, in milliseconds.
     pub remaining_ms: Option<u64>,
 }
 
-/// Presence tells whether a worker's process still lives.
+/// Presence tells whether a worker has answered this owner, and whether it is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Presence {
     /// It has not yet answered this owner.
     New,
     /// It has answered this owner.
     Contacted,
-    /// It is over: nothing runs there.
+    /// It is gone: nothing runs there any more.
     Gone,
 }
 
-/// Inheritance is what an earlier owner may have left on a worker.
+/// Inheritance tells what an earlier owner may have left on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Inheritance {
     /// Nothing that this owner does not know.
     None,
-    /// Runs and ends that no report has shown.
-    Unseen,
-    /// Ends that show only in a report asked for after the first one, which came at this time:
-    /// the two lists of a report need not be of one moment.
-    Seen(Millis),
+    /// Runs and ends that no report has shown yet.
+    Unreported,
+    /// Ends that the first report, which arrived at this time, may lack, because its two lists
+    /// need not be of the same moment. A report requested later shows them.
+    FirstReport(Millis),
 }
 
 /// Clock is one reading of a worker's clock.
@@ -75,85 +76,85 @@
     pub ms: u64,
 }
 
-/// Worker is one life of a worker.
+/// Worker is one incarnation of a worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
-    /// Its entry, or that of an earlier life while its own has not shown.
+    /// Its entry, or that of an earlier incarnation until its own is listed.
     pub info: Info,
-    /// When this life was started, as far as an entry or a report has told.
+    /// When this incarnation was started, as far as an entry or a report has shown.
     pub started_at: Option<Unix>,
-    /// The entry of another life of its id.
+    /// The entry of another incarnation of its id.
     pub announced: Option<Announced>,
     pub service: u16,
     pub rack: u16,
     pub presence: Presence,
     /// Since when the list has not shown it.
     pub unlisted_since: Option<Millis>,
-    /// Whether its entry can't be read: it gets no starts, and what runs there goes on.
+    /// Whether its entry can't be read. It then gets no starts, and what runs there goes on.
     pub unreadable: bool,
     /// Whether the store knows that it may run something.
     pub rostered: bool,
     /// What an earlier owner may have there that this one doesn't know.
     pub inheritance: Inheritance,
-    /// When what ran there had ended, if nothing but silence told so and the
+    /// When its runs were presumed to have ended, if that rests on its silence alone and the
     /// store has not confirmed the ownership since.
     pub presumed_ended: Option<Millis>,
     pub runs: Vec<RunKey>,
-    /// Starts without an answer, which may still be on their way.
+    /// Starts that got no answer and may still be carried out.
     pub unanswered: Vec<Unanswered>,
-    /// Memory and accelerators of all runs, and the processors of those that
-    /// are counted.
+    /// Memory and accelerators of all runs, and the processors of those that are not
+    /// best-effort.
     pub allocated: Size,
-    /// The processors that lasting tasks have reserved, in thousandths.
+    /// The processors that long-running tasks have reserved, in thousandths of a core.
     pub long_running_milli: u32,
-    /// The processors that all other runs asked for, in thousandths.
+    /// The processors that all other runs asked for, in thousandths of a core.
     pub other_milli: u32,
     pub clock: Option<Clock>,
-    /// The latest end of the lease that was ever sent, by its clock.
+    /// The latest end of a lease that was sent to it, by its clock.
     pub deadline_ms: u64,
-    /// Whether a hold is on its way.
+    /// Whether a lease renewal is in flight.
     pub renewing: bool,
-    /// When the latest hold was sent.
+    /// When the latest renewal was sent.
     pub renewal_sent: Millis,
-    /// When the final hold was sent before its silence counts.
+    /// When the final renewal was sent to a silent worker, before its lease counts as expired.
     pub final_renewal: Option<Millis>,
     pub renew_after: Millis,
     /// Since when it has not answered.
     pub silent_since: Option<Millis>,
-    /// Ends that were taken in.
+    /// The ends that were received from it.
     pub received: Received,
-    /// The number up to which the worker may forget ends.
+    /// The number up to which it may forget ends.
     pub acked: u64,
-    /// When the last report of this life was asked for.
+    /// When the last report of this incarnation was requested.
     pub reported: Millis,
-    /// The number up to which it has answered to have forgotten them.
+    /// The number up to which it has confirmed an acknowledgement.
     pub ack_confirmed: u64,
-    /// The number that the hold on its way tells it, zero for none.
+    /// The number that the renewal in flight acknowledges, zero for none.
     pub acking: u64,
-    /// The save after which the ends taken in may be forgotten.
+    /// The save after which the ends received may be acknowledged.
     pub ack_after_save: u64,
     pub health: Health,
-    /// The last start of a suspect there that was not proved harmless.
+    /// The last start of a suspect there, unless the suspect was cleared.
     pub isolation: Option<Isolation>,
-    /// No starts before this time, as it said that it had no room.
+    /// No starts before this time, because it answered that it had no capacity.
     pub full_until: Millis,
-    /// When a task last started here in spite of the bounds that protect others.
+    /// When a task last started here past the limits that protect other tasks.
     pub relaxed_start_at: Option<Millis>,
-    pub drain_seen: Option<Millis>,
-    /// Whether it gets no starts, as its host is to go down.
-    pub closed: bool,
-    /// Whether it is kept free of serving tasks, for what fills.
+    pub draining_since: Option<Millis>,
+    /// Whether it gets no starts because its host is about to go down.
+    pub cordoned: bool,
+    /// Whether it is kept free of serving tasks, to make way for best-effort tasks.
     pub evacuated: bool,
     /// Whether it is kept for short tasks.
     pub dedicated: Option<Dedication>,
-    /// Room that is kept for a waiting step.
+    /// Capacity that is kept free for a waiting step.
     pub reservation: Option<Reservation>,
-    /// What is expected of the serving tasks there.
+    /// The predictions for the serving tasks there.
     pub predictions: Vec<Prediction>,
 }
 
 impl Worker {
-    /// incarnation names this life, for the store and the log.
+    /// incarnation identifies this incarnation, for the store and the log.
     pub(crate) fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.info.id.clone(),
@@ -161,50 +162,51 @@
         }
     }
 
-    /// lease_end returns when everything that this owner leased has ended, if
-    /// the worker ever answered.
+    /// lease_end returns when everything that this owner leased has ended, if the worker ever
+    /// answered.
     pub(crate) fn lease_end(&self) -> Option<Millis> {
         let clock = self.clock?;
         let left = self.deadline_ms.saturating_sub(clock.ms);
-        let longest = left + left * CLOCK_ERROR_MILLI / 1_000 + LAPSE_MARGIN_MS;
+        let longest = left + left * CLOCK_ERROR_MILLI / 1_000 + LEASE_END_MARGIN_MS;
         Some(clock.at.plus(longest))
     }
 
-    /// has_unacked_ends tells whether the worker lists ends that it may not forget: the store
-    /// is not known to have them, or others are missing below.
+    /// has_unacked_ends reports whether the worker lists ends that it may not forget yet,
+    /// because the store may lack them, or because ends with lower numbers are missing.
     pub(crate) fn has_unacked_ends(&self) -> bool {
         self.received.has_above(self.acked)
     }
 
-    /// is_inherited tells whether an earlier owner may have runs there, or ends, that this one
+    /// is_inherited reports whether an earlier owner may have runs or ends there that this one
     /// doesn't know.
     pub(crate) fn is_inherited(&self) -> bool {
         self.inheritance != Inheritance::None
     }
 
-    /// inherit takes in what a report shows of an earlier owner's runs. It tells whether
-    /// another report is wanted at once: tasks wait for it.
-    pub(crate) fn inherit(&mut self, sent: Millis, now: Millis, whole: bool) -> bool {
+    /// update_inheritance records that a report arrived which shows an earlier owner's runs. It
+    /// reports whether another report is needed at once, because tasks wait for it.
+    pub(crate) fn update_inheritance(&mut self, sent: Millis, now: Millis, whole: bool) -> bool {
         match self.inheritance {
-            Inheritance::Unseen => self.inheritance = Inheritance::Seen(now),
-            // Times are whole milliseconds: it was asked for with the first one, or after it.
-            Inheritance::Seen(first) if sent <= first => {}
-            Inheritance::Seen(_) if whole && !self.received.has_gap() => {
+            Inheritance::Unreported => self.inheritance = Inheritance::FirstReport(now),
+            // Times are whole milliseconds, so this report may have been requested before the
+            // first one arrived.
+            Inheritance::FirstReport(first) if sent <= first => {}
+            Inheritance::FirstReport(_) if whole && !self.received.has_gap() => {
                 self.inheritance = Inheritance::None;
                 return false;
             }
-            Inheritance::None | Inheritance::Seen(_) => return false,
+            Inheritance::None | Inheritance::FirstReport(_) => return false,
         }
         whole
     }
 
-    /// is_responsive tells whether it answers, as far as this owner knows.
+    /// is_responsive reports whether the worker answers, as far as this owner knows.
     pub(crate) fn is_responsive(&self) -> bool {
         self.presence != Presence::Gone && self.silent_since.is_none()
     }
 
-    /// lease returns the end of a lease that starts now, by the worker's
-    /// clock, and notes it.
+    /// lease returns the end, by the worker's clock, of a lease that starts now, and records
+    /// it.
     pub(crate) fn lease(&mut self, now: Millis, lease_ms: u64) -> Option<u64> {
         let clock = self.clock?;
         let deadline = clock.ms + now.since(clock.at) + lease_ms;
@@ -212,14 +214,14 @@
         Some(deadline)
     }
 
-    /// add notes that a run holds room.
+    /// add records that a run holds capacity.
     pub(crate) fn add(&mut self, key: RunKey, run: &Run) {
         self.runs.push(key);
         self.allocated += run.guaranteed_size();
         *self.milli(run) += run.size.milli_cores;
     }
 
-    /// remove notes that a run holds room no more.
+    /// remove releases the capacity that a run held.
     pub(crate) fn remove(&mut self, key: RunKey, run: &Run) {
         self.runs.retain(|other| *other != key);
         self.end_isolation(key);
@@ -228,7 +230,7 @@
         *milli = milli.saturating_sub(run.size.milli_cores);
     }
 
-    /// end_isolation lets other starts in again after the start of a suspect.
+    /// end_isolation allows other starts again after the start of a suspect.
     pub(crate) fn end_isolation(&mut self, key: RunKey) {
         self.isolation = self.isolation.filter(|isolation| isolation.run != key);
     }
@@ -242,14 +244,14 @@
     }
 
     /// expected_unused_milli returns the processors that are expected to be unused, in
-    /// thousandths of a core, if lasting tasks use a share of what they
-    /// reserved, in thousandths.
+    /// thousandths of a core, if long-running tasks use `use_milli` thousandths of what they
+    /// reserved.
     pub(crate) fn expected_unused_milli(&self, use_milli: u32) -> i64 {
         let long_running = i64::from(self.long_running_milli) * i64::from(use_milli) / 1_000;
         i64::from(self.info.capacity.milli_cores) - long_running - i64::from(self.other_milli)
     }
 
-    /// free returns what is neither reserved nor in use.
+    /// free returns the capacity that no run has allocated.
     pub(crate) fn free(&self) -> Size {
         self.info.capacity.minus(&self.allocated)
     }
