--- a/crates/stackpier-cell/src/cell.rs
+++ b/crates/stackpier-cell/src/cell.rs
@@ -30,7 +30,7 @@
 /// GUARANTEED_RATING_DIVISOR sets the share of the rating budget, one in this many, for
 /// guaranteed tasks: most of them are found not to fit before any worker is rated.
 const GUARANTEED_RATING_DIVISOR: u32 = 4;
-/// MAX_FAILED_ON bounds how many workers on which it failed a task remembers.
+/// MAX_FAILED_ON bounds how many of the workers that a task failed on are remembered.
 const MAX_FAILED_ON: usize = 3;
 
 /// Cell holds the owner's view of a set of workers and decides what runs on them.
--- a/crates/stackpier-cell/src/ends.rs
+++ b/crates/stackpier-cell/src/ends.rs
@@ -11,8 +11,8 @@
     worker::Worker,
 };
 
-/// LAST_FAILURES is how many more failures a task may have before its job fails, from which on
-/// it is started only on workers that recently finished a run.
+/// LAST_FAILURES is the number of failures left before its job fails, at or below which a task
+/// is at first started only on workers that recently finished a run.
 pub(crate) const LAST_FAILURES: u16 = 1;
 
 impl Cell {
@@ -55,7 +55,7 @@
     /// gap_wait_ms returns how long the owner waits for ends missing below others: as long as
     /// for a run that is no longer reported. Numbers below the first that an inherited worker
     /// lists were most likely acknowledged by the predecessor. One more report without them is
-    /// then enough, because a longer wait would delay the worker's reports.
+    /// then enough: during a longer wait the worker's runs would be checked less often.
     fn gap_wait_ms(&self, worker: &Worker) -> u64 {
         if worker.is_inherited() && worker.received.last_contiguous() == 0 {
             0
--- a/crates/stackpier-cell/src/job.rs
+++ b/crates/stackpier-cell/src/job.rs
@@ -55,8 +55,8 @@
     /// saved.
     ///
     /// This delays the answer by one save (calculated: about 25 ms, for half of the pause
-    /// between saves and a call to the store) and costs 0.01 of the goodput of short jobs. A
-    /// cancellation needs no wait: the store has it before the owner knows of it.
+    /// between saves and a call to the store) and costs 0.01 of the goodput of short jobs in
+    /// simulation. A cancellation needs no wait: the store has it before the owner knows of it.
     pub(crate) fn visible_state(&self) -> State {
         let backed = self.stored == self.state || self.state == State::Cancelled;
         if self.state.is_final() && !backed {
--- a/crates/stackpier-cell/src/lifecycle.rs
+++ b/crates/stackpier-cell/src/lifecycle.rs
@@ -13,8 +13,8 @@
     job::{Job, Step, Task},
 };
 
-/// EXPIRY_OBJECTIVES is how many objectives after its acceptance a job expires. By the users'
-/// rules, a job that misses its objective earns a seventh of its value until then.
+/// EXPIRY_OBJECTIVES is how many objectives after its acceptance a job expires. By the client
+/// accounts' rules, a job that misses its objective earns a seventh of its value until then.
 const EXPIRY_OBJECTIVES: u64 = 3;
 
 impl Cell {
@@ -260,8 +260,8 @@
         if self.task(key).done {
             return false;
         }
-        // The task may be waiting to be placed: a copy has done its work, or the progress saved
-        // by an earlier owner lists a step's predecessors as done before the task itself.
+        // The task may be waiting to be placed: a copy has done its work, or restoring an
+        // earlier owner's progress released its step before the task itself was marked as done.
         self.unqueue(key);
         let task = self.task_mut(key);
         task.done = true;
--- a/crates/stackpier-cell/src/report.rs
+++ b/crates/stackpier-cell/src/report.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Handling of a worker's report: the runs it shows, the ends it lists, and the runs it lacks.
+//! Handling of a worker's report: the runs it shows, the ends it lists, and the runs missing
+//! from it.
 
 use stackpier_core::Millis;
 
@@ -45,7 +46,7 @@
         let at = self.now.mono;
         let worker = self.worker_mut(key);
         worker.clock = Some(Clock { at, ms: clock_ms });
-        // The report shows more exactly what runs there.
+        // The report shows what runs there, so nothing has to be presumed.
         worker.presumed_ended = None;
         worker.reported = sent;
         worker.final_renewal = None;
@@ -164,8 +165,9 @@
     }
 
     /// handle_missing_runs handles runs that a report lacks though it was requested after they
-    /// were confirmed, or after an order to stop them was accepted. Times are whole
-    /// milliseconds, so the report must have been requested in a later one.
+    /// were confirmed, after their start got no answer, or after the worker accepted an order
+    /// to stop them. Times are whole milliseconds, so the report must have been requested in a
+    /// later one.
     ///
     /// A missing run may have ended in any way, and may still be listed as done. So it is
     /// ordered to stop, which makes the worker refuse its number, and its task is placed again
@@ -207,8 +209,8 @@
         }
     }
 
-    /// has_ended reports whether a stopped run that a report lacks has ended. If the run was
-    /// confirmed, its end may be listed for as long as a stop takes.
+    /// has_ended reports whether a stopped run that a report lacks has ended. A run that was
+    /// confirmed gets the time that a stop takes, in which its end may still be listed.
     fn has_ended(&self, run: &Run, sent: Millis) -> bool {
         let wait_ms = if run.confirmed.is_some() {
             self.options.stop_ms
--- a/crates/stackpier-cell/src/save.rs
+++ b/crates/stackpier-cell/src/save.rs
@@ -13,10 +13,10 @@
 
 /// FORGOTTEN_PER_SAVE bounds the jobs removed from the store in one save.
 const FORGOTTEN_PER_SAVE: usize = 20;
-/// LEASE_MARGIN_DIVISOR sets the margin added to a lease, one part in this many of it: workers'
-/// clocks may be 2% slow, and the last call of an owner takes time.
+/// LEASE_MARGIN_DIVISOR sets the time waited beyond the end of a lease, one part in this many
+/// of the lease: workers' clocks may be 2% slow, and the last call of an owner takes time.
 const LEASE_MARGIN_DIVISOR: u64 = 10;
-/// TRIMMED_PER_SAVE bounds the jobs trimmed in one save, by the size limit of one transaction.
+/// TRIMMED_PER_SAVE bounds the jobs trimmed in one save: one transaction takes no more.
 const TRIMMED_PER_SAVE: usize = 30;
 
 /// Saver tracks what must be saved and what is in flight.
@@ -304,7 +304,7 @@
         self.send_deferred();
     }
 
-    /// requeue_save returns the contents of a failed save to the next one.
+    /// requeue_save keeps the contents of a failed save for the next one.
     fn requeue_save(&mut self, sent: InFlight) {
         for Sent { job, .. } in sent.jobs {
             self.mark_dirty(job);
--- a/crates/stackpier-cell/src/worker.rs
+++ b/crates/stackpier-cell/src/worker.rs
@@ -251,7 +251,7 @@
         i64::from(self.info.capacity.milli_cores) - long_running - i64::from(self.other_milli)
     }
 
-    /// free returns the capacity that no run has allocated.
+    /// free returns the capacity that is not allocated.
     pub(crate) fn free(&self) -> Size {
         self.info.capacity.minus(&self.allocated)
     }
