--- a/crates/stackpier-cell/src/handover.rs
+++ b/crates/stackpier-cell/src/handover.rs
@@ -69,7 +69,7 @@
             .collect();
         self.mark_dirty(key);
         for task in &newly_done {
-            self.finish(*task);
+            self.complete_task(*task);
         }
         for checkpoint in &progress.checkpoints {
             self.merge_checkpoint(key, checkpoint);
@@ -85,7 +85,7 @@
             self.merge_failures(key, failures);
         }
         if let Some(task) = newly_done.first() {
-            self.complete_job(*task);
+            self.end_completed_job(*task);
         }
         newly_done.len()
     }
@@ -123,6 +123,6 @@
                 entry.failed_at = now;
             }
         }
-        self.fail_job(task);
+        self.fail_exhausted_job(task);
     }
 }
--- a/crates/stackpier-cell/src/restart.rs
+++ b/crates/stackpier-cell/src/restart.rs
@@ -160,7 +160,7 @@
         let now = self.now.mono;
         let worker = self.worker(key);
         let inherited = worker.is_inherited();
-        if worker.is_responsive() && !worker.closed {
+        if worker.is_responsive() && !worker.cordoned {
             // This comes before runs are moved, because the runs that began last may have brought
             // the worker down.
             self.suspect_runs(key);
@@ -171,7 +171,7 @@
         self.block_unanswered(key, later);
         self.end_incarnation(key, "it restarted");
         if inherited {
-            self.worker_mut(later).inheritance = Inheritance::Unseen;
+            self.worker_mut(later).inheritance = Inheritance::Unreported;
         }
         later
     }
@@ -200,7 +200,7 @@
         };
         self.workers[run.worker.0 as usize].remove(key, run);
         run.worker = to;
-        run.stop_taken = None;
+        run.stop_accepted = None;
         if run.phase == Phase::Running {
             run.phase = Phase::Unsure(now);
         }
