--- a/crates/stackpier-cell/src/advice.rs
+++ b/crates/stackpier-cell/src/advice.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Queues with an adviser: only some workers may run a step, and only the
-//! adviser knows which. It hands out a ticket for each, which holds for a time.
+//! adviser knows which. It issues a ticket for each of them, valid for a limited
+//! time.
 
 use std::collections::BTreeMap;
 
@@ -12,35 +13,39 @@
     place::Demand,
 };
 
-/// MAX_ASKED is the most workers that one question names: the platform allows
+/// MAX_ASKED is how many workers one request names at most: the platform allows
 /// 100, and each costs the adviser time.
 const MAX_ASKED: usize = 40;
-/// MARGIN_MS is how long a ticket must still hold when a start is sent.
+/// MARGIN_MS is how long a ticket must still be valid when a start is sent.
 const MARGIN_MS: u64 = 300;
-/// RETRY_MS is the pause before an adviser that gave no answer is asked again.
+/// RETRY_MS is the pause before the next request if the adviser did not answer, or
+/// if advice on all workers has been requested.
 const RETRY_MS: u64 = 250;
 
-/// Advice is what is known of the workers that may run a step.
+/// Advice holds the adviser's tickets for a step and the state of the requests.
 #[derive(Debug, Default)]
 pub(crate) struct Advice {
     tickets: BTreeMap<WorkerKey, Ticket>,
-    /// When each worker was last asked for.
+    /// When advice on each worker was last requested.
     asked: BTreeMap<WorkerKey, Millis>,
-    asking: bool,
+    /// Whether a request awaits its answer.
+    awaits_answer: bool,
+    /// No request is sent before this time.
     not_before: Millis,
 }
 
+/// Ticket lets a step run on one worker until it expires.
 #[derive(Clone, Debug)]
 struct Ticket {
     text: String,
-    until: Millis,
+    expires_at: Millis,
 }
 
 impl Advice {
-    /// ticket returns the ticket for a worker, if it holds for long enough.
+    /// ticket returns the ticket for a worker, if it is valid for long enough.
     pub(crate) fn ticket(&self, worker: WorkerKey, now: Millis) -> Option<&str> {
         let ticket = self.tickets.get(&worker)?;
-        (now.plus(MARGIN_MS) < ticket.until).then_some(ticket.text.as_str())
+        (now.plus(MARGIN_MS) < ticket.expires_at).then_some(ticket.text.as_str())
     }
 }
 
@@ -51,17 +56,17 @@
         advice.ticket(worker, self.now.mono).map(str::to_owned)
     }
 
-    /// request_advice asks the adviser about the workers with room for a step's waiting
-    /// tasks that it was not asked about lately.
+    /// request_advice requests advice on workers that could take a step's waiting tasks and
+    /// that no recent request has named.
     pub(crate) fn request_advice(&mut self, demand: &Demand) {
         let now = self.now.mono;
         let advice = self.step_of(demand.step).advice.as_deref();
-        if advice.is_some_and(|advice| advice.asking || now < advice.not_before) {
+        if advice.is_some_and(|advice| advice.awaits_answer || now < advice.not_before) {
             return;
         }
-        let workers = self.unasked(demand);
+        let workers = self.unasked_workers(demand);
         if workers.is_empty() {
-            // All were asked: begin again, as tickets and room change.
+            // All were named: start over, as tickets and free capacity change.
             if let Some(advice) = self.step_mut(demand.step).advice.as_deref_mut() {
                 advice.asked.clear();
                 advice.not_before = now.plus(RETRY_MS);
@@ -71,57 +76,57 @@
         let ids = workers
             .iter()
             .map(|worker| self.worker(*worker).info.id.clone());
-        let question = AdviceRequest {
+        let request = AdviceRequest {
             step: demand.step,
             name: self.name(self.step_of(demand.step).first_task),
             workers: ids.collect(),
         };
         let advice = self.step_mut(demand.step).advice.get_or_insert_default();
-        advice.asking = true;
+        advice.awaits_answer = true;
         advice
             .asked
             .extend(workers.into_iter().map(|worker| (worker, now)));
-        self.effects.push(Effect::RequestAdvice(question));
+        self.effects.push(Effect::RequestAdvice(request));
     }
 
-    /// unasked returns the best workers with room for a step that the adviser
-    /// was not asked about lately.
-    fn unasked(&self, demand: &Demand) -> Vec<WorkerKey> {
+    /// unasked_workers returns the best workers that could take a step's tasks and
+    /// that no recent request has named.
+    fn unasked_workers(&self, demand: &Demand) -> Vec<WorkerKey> {
         let advice = self.step_of(demand.step).advice.as_deref();
-        let known =
+        let was_asked =
             |worker: &WorkerKey| advice.is_some_and(|advice| advice.asked.contains_key(worker));
-        let open = Demand {
+        let without_advice = Demand {
             advised: false,
             ..*demand
         };
-        let mut candidates = self.candidates(&open).into_sorted_vec();
+        let mut candidates = self.candidates(&without_advice).into_sorted_vec();
         candidates.reverse();
         let workers = candidates.into_iter().map(|candidate| candidate.worker);
         workers
-            .filter(|worker| !known(worker))
+            .filter(|worker| !was_asked(worker))
             .take(MAX_ASKED)
             .collect()
     }
 
-    /// handle_advice takes in the adviser's answer, or that there was none.
+    /// handle_advice applies the adviser's answer, or that there was none.
     pub(crate) fn handle_advice(&mut self, step: StepKey, answer: Option<Advised>) {
         let now = self.now.mono;
         let keys = &self.worker_keys;
         let Some(advice) = self.steps[step.0 as usize].advice.as_deref_mut() else {
             return;
         };
-        advice.asking = false;
+        advice.awaits_answer = false;
         let Some(answer) = answer else {
             advice.asked.clear();
             advice.not_before = now.plus(RETRY_MS);
             return;
         };
-        let until = now.plus(answer.valid_ms);
+        let expires_at = now.plus(answer.valid_ms);
         for (id, text) in answer.good {
-            // A life that began since is not the one that was asked about.
+            // An incarnation that began since the request is not the one it named.
             let asked = |worker: &&WorkerKey| advice.asked.contains_key(worker);
             if let Some(worker) = keys.get(&id).filter(asked) {
-                advice.tickets.insert(*worker, Ticket { text, until });
+                advice.tickets.insert(*worker, Ticket { text, expires_at });
             }
         }
         self.place_wanted = true;
--- a/crates/stackpier-cell/src/drain.rs
+++ b/crates/stackpier-cell/src/drain.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Moving work off workers that are about to leave.
+//! Moves work off workers that are about to leave.
 
 use crate::{
     Cell,
@@ -9,14 +9,15 @@
 };
 
 /// LEAVE_MARGIN_MS is how long before a draining worker may leave its runs
-/// are to be over: a stop takes up to 900 ms.
+/// must have ended: a stop takes up to 900 ms.
 const LEAVE_MARGIN_MS: u64 = 1_100;
-/// LEAVE_MS is how long a draining worker is taken to stay when it does not
-/// say: the least that the platform promises.
+/// LEAVE_MS is how long a draining worker is assumed to stay if its entry does not
+/// say: the least time that the platform guarantees.
 const LEAVE_MS: u64 = 2_000;
 
 impl Cell {
-    /// check_drains stops runs on draining workers that would not end in time.
+    /// check_drains stops runs on draining workers that would not end before the
+    /// worker leaves.
     pub(crate) fn check_drains(&mut self) {
         for key in self.collect_live_workers() {
             let worker = self.worker(key);
@@ -29,6 +30,8 @@
         }
     }
 
+    /// check_leaving stops a run on a draining worker, unless it is expected to end
+    /// in time.
     fn check_leaving(&mut self, worker: WorkerKey, key: RunKey) {
         let now = self.now.mono;
         let entry = self.worker(worker);
@@ -54,14 +57,14 @@
         self.stop(key);
     }
 
-    /// ends_within tells whether a run is expected to end in some
-    /// milliseconds, or to lose less by waiting than by stopping.
+    /// ends_within reports whether a run is expected to end within `ms`
+    /// milliseconds, by its estimate. A long-running one never is.
     fn ends_within(&self, run: &Run, ms: u64) -> bool {
         if run.long_running {
             return false;
         }
-        let shape = self.step_spec(run.step);
-        let left = u64::from(shape.estimate_ms) * u64::from(100 - run.percent.min(100)) / 100;
+        let spec = self.step_spec(run.step);
+        let left = u64::from(spec.estimate_ms) * u64::from(100 - run.percent.min(100)) / 100;
         left <= ms
     }
 }
--- a/crates/stackpier-cell/src/explain.rs
+++ b/crates/stackpier-cell/src/explain.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Why the tasks of a job are where they are, or still wait.
+//! Explains where the tasks of a job run, or why they wait.
 
 use std::collections::HashMap;
 
@@ -16,17 +16,17 @@
 /// MAX_TASKS is how many tasks of a job are explained at a time: more than an
 /// operator reads.
 pub const MAX_TASKS: usize = 100;
-/// MAX_STEPS is for how many waiting steps of a job all workers are looked at,
-/// so that an explanation costs no more than placing as many tasks.
+/// MAX_STEPS is for how many waiting steps of a job all workers are rated, so that
+/// an explanation costs no more than placing as many tasks.
 const MAX_STEPS: usize = 20;
 
-/// Causes keeps what was found for each step: its tasks are alike.
+/// Causes holds the cause found for each step: its tasks are alike.
 type Causes = HashMap<StepKey, Cause>;
 
 impl Cell {
-    /// explain tells of a job's tasks that are not done, up to a bound, where
-    /// they run or what keeps them from starting. A job that is running with nothing open
-    /// waits for the store.
+    /// explain returns where the unfinished tasks of a job run or what keeps them
+    /// from starting, for up to [`MAX_TASKS`] tasks. A running job without
+    /// unfinished tasks waits for the store.
     pub fn explain(&mut self, job: key::Job) -> Option<Job> {
         let job = self.job(*self.job_keys.get(&job)?);
         let state = job.visible_state();
@@ -51,8 +51,8 @@
         })
     }
 
-    /// explain_task returns nothing for a task that waits once enough steps were
-    /// looked at.
+    /// explain_task returns the standing of a task, or `None` if it waits and the
+    /// causes of `MAX_STEPS` other steps have been found already.
     fn explain_task(&mut self, key: TaskKey, causes: &mut Causes) -> Option<Task> {
         let standing = match self.standing(key) {
             Some(standing) => standing,
@@ -64,7 +64,8 @@
         })
     }
 
-    /// standing returns where a task stands that does not wait for a worker.
+    /// standing returns the standing of a task, or `None` if it waits for a
+    /// worker.
     fn standing(&self, key: TaskKey) -> Option<Standing> {
         let task = self.task(key);
         let step = self.step_of(task.step);
--- a/crates/stackpier-cell/src/lateness.rs
+++ b/crates/stackpier-cell/src/lateness.rs
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! How large a job is and how late it is, in the log: without its size, a bias against large
-//! jobs looks like a few late ones.
+//! Logs how late a job is together with its size: without the size, a bias against large jobs
+//! looks like a few late ones.
 
 use std::fmt;
 
-use stackpier_state::job::{Spec, Step as Shape};
+use stackpier_state::job::{Spec, Step as StepSpec};
 
 use crate::{
     Cell,
@@ -16,7 +16,7 @@
 /// MILLI is the number of thousandths in a core and of milliseconds in a second.
 const MILLI: u64 = 1_000;
 
-/// Extent is what all tasks of a job ask for.
+/// Extent is the size of a job: what all its tasks ask for.
 struct Extent {
     tasks: u32,
     /// The processors that the largest task asks for, in thousandths of a core.
@@ -28,14 +28,14 @@
 impl Extent {
     fn of(spec: &Spec) -> Extent {
         let largest = spec.steps.iter().map(|step| step.size.milli_cores).max();
-        let milli = |step: &Shape| {
+        let work = |step: &StepSpec| {
             let each = u64::from(step.size.milli_cores) * u64::from(step.estimate_ms);
             each * u64::from(step.count)
         };
         Extent {
             tasks: spec.width() * spec.rounds(),
             largest_milli: largest.unwrap_or(0),
-            core_seconds: spec.steps.iter().map(milli).sum::<u64>() / (MILLI * MILLI),
+            core_seconds: spec.steps.iter().map(work).sum::<u64>() / (MILLI * MILLI),
         }
     }
 }
@@ -55,7 +55,8 @@
 }
 
 impl Cell {
-    /// describe_lateness says how late a job is now, and how large it is.
+    /// describe_lateness returns how long before or after its deadline a job is now, and how
+    /// large it is.
     pub(crate) fn describe_lateness(&self, key: JobKey) -> String {
         let job = self.job(key);
         let extent = Extent::of(&job.spec);
@@ -67,7 +68,7 @@
         }
     }
 
-    /// log_expired tells once of each job that waits though it can't be of use any more.
+    /// log_expired logs each waiting job that has expired, once.
     pub(crate) fn log_expired(&mut self) {
         let newly_expired = |step: &StepKey| {
             let job = self.job(self.step_of(*step).job);
@@ -83,7 +84,7 @@
             let job = self.job(key);
             let (id, left) = (job.id, job.left);
             let text = format!(
-                "job is too late to be of use, {left} tasks left, {}",
+                "job has expired, {left} tasks left, {}",
                 self.describe_lateness(key)
             );
             self.log("job", Some(first_task(id)), text);
--- a/crates/stackpier-cell/src/maintenance.rs
+++ b/crates/stackpier-cell/src/maintenance.rs
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Maintenance: hosts of workers that operators want taken down for a while.
+//! Maintenance: takes hosts of workers down for a while at the operators' request.
 //!
-//! A plan names hosts, by when each is to have been down, and how many may be
-//! down at once. A host is emptied first: its worker gets no starts, lasting
-//! tasks move as far as their steps can miss them, filling tasks are stopped
-//! with their checkpoints, and short ones end. Then it is ordered down. It is
-//! done when a new worker of it shows. What was ordered is kept in the store, so
-//! that a later owner goes on.
+//! A plan names hosts, the time within which each must have been down once, and
+//! how many may be down at once. A host is emptied first: its worker gets no
+//! starts, long-running tasks are stopped as far as their steps tolerate absent
+//! tasks, tasks with checkpoints are stopped, and the others get some time to
+//! end. Then the host is ordered down. It is done when a new incarnation of its
+//! worker has answered. The store keeps which hosts went down, so that a
+//! successor continues from there.
 
 mod empty;
 mod order;
@@ -19,31 +20,31 @@
 
 use crate::{Cell, Options, arena::WorkerKey, worker::Presence};
 
-use rollout::{Host, HostKey, NEXT_MS, Stage};
+use rollout::{Host, HostKey, LEAD_MS, Stage};
 
 pub use order::{TakeDown, TakenDown};
 pub(crate) use rollout::Rollout;
 
 /// FIRST_FENCE is the fence of a cell's first owner.
 const FIRST_FENCE: u64 = 1;
-/// GIVE_UP_MS is how long a host may have no worker before the plan goes on
-/// without it.
+/// GIVE_UP_MS is how long a host may have no worker, or not return after it went
+/// down, before the plan continues without it.
 const GIVE_UP_MS: u64 = 15_000;
 
-/// Plan is what operators ask for.
+/// Plan is an operator's request to take hosts down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Its number.
+    /// The number of the plan.
     pub number: u64,
     /// The hosts.
     pub hosts: Vec<String>,
-    /// The time in which each is to be down once, in milliseconds.
+    /// The time within which each host must have been down once, in milliseconds.
     pub within_ms: u64,
     /// The most hosts of the plan that may be down at once.
-    pub most_down: u32,
+    pub max_down: u32,
 }
 
-/// Record is what the store keeps of a plan.
+/// Record is the progress of a plan as the store keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The plan's number.
@@ -55,8 +56,9 @@
 }
 
 impl Cell {
-    /// take_downs_from returns from when an owner orders hosts down: two owners
-    /// don't take turns.
+    /// take_downs_from returns the earliest time at which an owner orders hosts
+    /// down. After a take-over it waits until its predecessor has stopped, so
+    /// that the orders of two owners never alternate.
     pub(crate) fn take_downs_from(options: &Options, now: Millis, fence: u64) -> Millis {
         let gap_ms = if fence > FIRST_FENCE {
             options.take_down_gap_ms
@@ -66,7 +68,8 @@
         now.plus(gap_ms)
     }
 
-    /// add_plan takes in a plan of operators.
+    /// add_plan adds a plan of operators, unless it is known. It resumes a plan that
+    /// earlier owners began.
     pub(crate) fn add_plan(&mut self, plan: Plan) {
         let known = |rollout: &Rollout| rollout.plan.number == plan.number;
         if self.maintenance.iter().any(known) {
@@ -77,7 +80,7 @@
             plan.number,
             plan.hosts.len(),
             plan.within_ms,
-            plan.most_down
+            plan.max_down
         );
         self.log("maintenance", None, text);
         let mut rollout = Rollout::new(plan, self.now.mono);
@@ -89,12 +92,13 @@
         self.saver.maintenance_changed = true;
     }
 
-    /// resume_maintenance takes over how far an earlier owner came.
+    /// resume_maintenance sets the progress that earlier owners recorded.
     pub fn resume_maintenance(&mut self, records: Vec<Record>) {
         self.inherited_maintenance = records;
     }
 
-    /// maintenance_records returns what the store is to keep of all plans.
+    /// maintenance_records returns the records of all plans for the store, also
+    /// inherited ones whose plan has not been read yet.
     pub(crate) fn maintenance_records(&self) -> Vec<Record> {
         let rollouts = self.maintenance.iter().map(Rollout::record);
         let read = |number: u64| {
@@ -109,15 +113,15 @@
         rollouts.chain(unread.cloned()).collect()
     }
 
-    /// check_maintenance moves all plans on.
+    /// check_maintenance advances all plans that are not completed.
     pub(crate) fn check_maintenance(&mut self) {
         for plan in 0..self.maintenance.len() {
             if self.maintenance[plan].completed {
                 continue;
             }
-            self.take_hosts(plan);
+            self.begin_emptying(plan);
             for host in 0..self.maintenance[plan].hosts.len() {
-                self.move_on(HostKey { plan, host });
+                self.advance_host(HostKey { plan, host });
             }
             self.check_completed(plan);
         }
@@ -126,35 +130,36 @@
         }
     }
 
-    /// close_workers keeps starts off hosts that are taken.
+    /// close_workers closes the workers of hosts that are out of service to starts.
     fn close_workers(&mut self) {
         let open = self.maintenance.iter().filter(|rollout| !rollout.completed);
-        let taken = open.flat_map(|rollout| rollout.hosts.iter().filter(|host| host.is_taken()));
-        let taken: HashSet<String> = taken.map(|host| host.name.clone()).collect();
+        let hosts =
+            open.flat_map(|rollout| rollout.hosts.iter().filter(|host| host.is_out_of_service()));
+        let hosts: HashSet<String> = hosts.map(|host| host.name.clone()).collect();
         for worker in &mut self.workers {
-            worker.closed = taken.contains(&worker.info.host);
+            worker.closed = hosts.contains(&worker.info.host);
         }
     }
 
-    /// take_hosts begins to empty further hosts, as many as there is room for.
-    fn take_hosts(&mut self, plan: usize) {
+    /// begin_emptying starts to empty as many further hosts as the plan needs now.
+    fn begin_emptying(&mut self, plan: usize) {
         let now = self.now.mono;
-        // A host that is empty before it can be ordered down does nothing.
-        if now.plus(NEXT_MS) < self.take_downs_from {
+        // A host that is empty before it may be ordered down is only wasted.
+        if now.plus(LEAD_MS) < self.take_downs_from {
             return;
         }
-        let room = self.maintenance[plan].room(now);
-        for key in self.next_hosts(plan).into_iter().take(room) {
+        let count = self.maintenance[plan].count_hosts_to_begin(now);
+        for key in self.next_hosts(plan).into_iter().take(count) {
             let host = self.host_mut(key);
             host.stage = Stage::Emptying(now);
-            host.progress = now;
+            host.last_stop_at = now;
             let text = format!("host {} is being emptied", host.name);
             self.log("maintenance", None, text);
         }
     }
 
-    /// next_hosts returns the hosts of a plan that wait and have a worker,
-    /// those with the least to move first.
+    /// next_hosts returns the waiting hosts of a plan that have a worker, those
+    /// with the fewest processors reserved by long-running tasks first.
     fn next_hosts(&self, plan: usize) -> Vec<HostKey> {
         let hosts = self.maintenance[plan].hosts.iter().enumerate();
         let now = self.now.mono;
@@ -171,24 +176,27 @@
             .collect()
     }
 
-    /// move_on does what is due for a host.
-    fn move_on(&mut self, key: HostKey) {
+    /// advance_host moves a host to its next stage if that is due.
+    fn advance_host(&mut self, key: HostKey) {
         let now = self.now.mono;
         let host = self.host(key);
         let worker = self.worker_of(&host.name);
         match host.stage.clone() {
             Stage::Waiting => self.check_absent(key, worker),
             Stage::Emptying(since) => match worker {
-                Some(worker) => self.empty(key, worker, since),
+                Some(worker) => self.empty_host(key, worker, since),
                 None => self.host_mut(key).stage = Stage::Waiting,
             },
-            Stage::Ordered { in_flight, again } => {
-                if !in_flight && now >= again {
+            Stage::Ordered {
+                in_flight,
+                retry_at,
+            } => {
+                if !in_flight && now >= retry_at {
                     self.take_down(key);
                 }
             }
-            Stage::Down { life, since } => {
-                let back = worker.is_some_and(|worker| self.is_new(worker, life));
+            Stage::Down { ended, since } => {
+                let back = worker.is_some_and(|worker| self.is_new_incarnation(worker, ended));
                 if back || now.since(since) >= GIVE_UP_MS {
                     self.host_mut(key).stage = Stage::Done;
                 }
@@ -197,20 +205,21 @@
         }
     }
 
-    /// is_new tells whether a worker was met and is not the life that ended.
-    fn is_new(&self, key: WorkerKey, ended: Option<WorkerKey>) -> bool {
+    /// is_new_incarnation reports whether a worker has been contacted and is not the
+    /// incarnation that ended.
+    fn is_new_incarnation(&self, key: WorkerKey, ended: Option<WorkerKey>) -> bool {
         self.worker(key).presence == Presence::Contacted && Some(key) != ended
     }
 
-    /// check_absent goes on without a host that has had no worker for long.
+    /// check_absent gives up a host that has had no worker for [`GIVE_UP_MS`].
     fn check_absent(&mut self, key: HostKey, worker: Option<WorkerKey>) {
         let now = self.now.mono;
         let host = self.host_mut(key);
         if worker.is_some() {
-            host.absent = None;
+            host.absent_since = None;
             return;
         }
-        let since = *host.absent.get_or_insert(now);
+        let since = *host.absent_since.get_or_insert(now);
         if now.since(since) >= GIVE_UP_MS {
             host.stage = Stage::Gone;
             let text = format!("host {} has had no worker for {GIVE_UP_MS} ms", host.name);
@@ -218,6 +227,7 @@
         }
     }
 
+    /// check_completed marks a plan as completed when no host has anything left to do.
     fn check_completed(&mut self, plan: usize) {
         let rollout = &mut self.maintenance[plan];
         if !rollout.is_over() {
@@ -237,12 +247,12 @@
         &mut self.maintenance[key.plan].hosts[key.host]
     }
 
-    /// worker_of returns the worker of a host that is not known to be over.
+    /// worker_of returns the live and listed worker of a host.
     fn worker_of(&self, host: &str) -> Option<WorkerKey> {
-        let is_its = |key: &WorkerKey| {
+        let is_on_host = |key: &WorkerKey| {
             let worker = self.worker(*key);
             worker.info.host == host && worker.unlisted_since.is_none()
         };
-        self.live_workers().find(is_its)
+        self.live_workers().find(is_on_host)
     }
 }
--- a/crates/stackpier-cell/src/maintenance/rollout.rs
+++ b/crates/stackpier-cell/src/maintenance/rollout.rs
@@ -1,49 +1,51 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A plan at work: how far each of its hosts is, and how many are taken at
-//! once.
+//! Progress of a plan: the stage of each host, and how many hosts are out of
+//! service at once.
 
 use stackpier_core::Millis;
 
 use super::{Plan, Record};
 use crate::arena::WorkerKey;
 
-/// TURN_MS is how long a host takes from the first stop until its new worker
-/// works: one to two seconds of emptying, two down, and the start.
-const TURN_MS: u64 = 4_000;
-/// NEXT_MS is how long after a host went down the next one is emptied: that takes
-/// about a second, and the host is down for two.
-pub(super) const NEXT_MS: u64 = 1_000;
-/// HASTE is by how much more hosts are taken at once than the time left asks
-/// for, as some wait for others.
-const HASTE: f64 = 1.3;
-
-/// HostKey names a host of a plan.
+/// HOST_CYCLE_MS is the time from the first stop on a host until its new worker
+/// works: one to two seconds to empty it, two down, and the start.
+const HOST_CYCLE_MS: u64 = 4_000;
+/// LEAD_MS is how long before it can go down a host is emptied, as emptying takes
+/// about a second. A host is down for two seconds, so the next one is emptied this
+/// long after it went down, and goes down as the first returns.
+pub(super) const LEAD_MS: u64 = 1_000;
+/// HEADROOM is the factor by which more hosts are out of service at once than the
+/// time left requires, as some wait for others.
+const HEADROOM: f64 = 1.3;
+
+/// HostKey identifies a host of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct HostKey {
-    /// The place of the plan among all.
+    /// The index of the plan.
     pub plan: usize,
-    /// The place of the host in its plan.
+    /// The index of the host in its plan.
     pub host: usize,
 }
 
-/// Stage is how far a host is.
+/// Stage is how far a host has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     Waiting,
-    /// It gets no starts, since this time.
+    /// Its runs are stopped and it gets no starts, since this time.
     Emptying(Millis),
-    /// An order was sent; it is sent again at this time, unless it is being
-    /// answered.
+    /// An order was sent. It is sent again at `retry_at`, unless an answer is
+    /// still awaited.
     Ordered {
         in_flight: bool,
-        again: Millis,
+        retry_at: Millis,
     },
-    /// It went down.
+    /// It has gone down.
     Down {
-        /// The life that ended with it, if one was known.
-        life: Option<WorkerKey>,
+        /// The incarnation of its worker that ended, if one was known.
+        ended: Option<WorkerKey>,
         since: Millis,
     },
+    /// It has been down and has returned, or did not return in time.
     Done,
     /// It is not known, or has had no worker for long.
     Gone,
@@ -54,11 +56,11 @@
 pub(super) struct Host {
     pub name: String,
     pub stage: Stage,
-    /// Since when no worker of it has been known.
-    pub absent: Option<Millis>,
-    /// When the last of its runs was stopped, or emptying it began.
-    pub progress: Millis,
-    /// No order, and no new try at emptying it, before this time.
+    /// Since when it has had no known worker.
+    pub absent_since: Option<Millis>,
+    /// When a run on it was last stopped, or else when emptying began.
+    pub last_stop_at: Millis,
+    /// It is neither ordered down nor emptied again before this time.
     pub not_before: Millis,
 }
 
@@ -67,38 +69,38 @@
         Host {
             name: name.to_owned(),
             stage: Stage::Waiting,
-            absent: None,
-            progress: Millis(0),
+            absent_since: None,
+            last_stop_at: Millis(0),
             not_before: Millis(0),
         }
     }
 
-    /// is_down tells whether it may be down now.
+    /// is_down reports whether the host may be down now.
     fn is_down(&self) -> bool {
         matches!(self.stage, Stage::Ordered { .. } | Stage::Down { .. })
     }
 
-    /// is_taken tells whether its worker gets no starts.
-    pub(super) fn is_taken(&self) -> bool {
+    /// is_out_of_service reports whether the host's worker gets no starts.
+    pub(super) fn is_out_of_service(&self) -> bool {
         self.is_down() || matches!(self.stage, Stage::Emptying(_))
     }
 
-    /// is_over tells whether nothing is left to do with it.
+    /// is_over reports whether nothing is left to do for the host.
     fn is_over(&self) -> bool {
         matches!(self.stage, Stage::Done | Stage::Gone)
     }
 
-    /// blocks_next tells whether the next host waits for this one: not when it
-    /// will be back by the time that one is empty.
+    /// blocks_next reports whether the next host waits for this one. It does not
+    /// if this one will be back by the time that the next is empty.
     fn blocks_next(&self, now: Millis) -> bool {
         match self.stage {
-            Stage::Down { since, .. } => now.since(since) < NEXT_MS,
-            _ => self.is_taken(),
+            Stage::Down { since, .. } => now.since(since) < LEAD_MS,
+            _ => self.is_out_of_service(),
         }
     }
 }
 
-/// Rollout is a plan with how far it is.
+/// Rollout is a plan with the progress of its hosts.
 #[derive(Debug)]
 pub(crate) struct Rollout {
     pub(super) plan: Plan,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// resume takes over how far an earlier owner came.
+    /// resume applies the progress that earlier owners recorded.
     pub(super) fn resume(&mut self, record: &Record) {
         self.completed = record.completed;
         let was_down = |host: &&mut Host| record.down.contains(&host.name);
@@ -126,7 +128,7 @@
         }
     }
 
-    /// record returns what the store is to keep of the plan.
+    /// record returns the progress of the plan for the store.
     pub(super) fn record(&self) -> Record {
         let was_down = |host: &&Host| matches!(host.stage, Stage::Down { .. } | Stage::Done);
         let down = self.hosts.iter().filter(was_down);
@@ -137,32 +139,34 @@
         }
     }
 
-    /// is_over tells whether nothing is left to do with any host.
+    /// is_over reports whether nothing is left to do for any host.
     pub(super) fn is_over(&self) -> bool {
         self.hosts.iter().all(Host::is_over)
     }
 
-    /// room returns how many more hosts are to be taken now.
-    pub(super) fn room(&self, now: Millis) -> usize {
+    /// count_hosts_to_begin returns how many more hosts must be emptied now.
+    pub(super) fn count_hosts_to_begin(&self, now: Millis) -> usize {
         let blocking = self.hosts.iter().filter(|host| host.blocks_next(now));
-        self.wanted(now).saturating_sub(blocking.count())
+        self.target_concurrency(now)
+            .saturating_sub(blocking.count())
     }
 
-    /// wanted returns how many hosts should be taken at once: as few as the
-    /// time left allows.
-    fn wanted(&self, now: Millis) -> usize {
+    /// target_concurrency returns how many hosts should be out of service at once:
+    /// as few as the time left allows.
+    fn target_concurrency(&self, now: Millis) -> usize {
         let open = |host: &&Host| matches!(host.stage, Stage::Waiting | Stage::Emptying(_));
         let open = self.hosts.iter().filter(open).count();
         let left_ms = self.due.since(now).max(1);
-        let turns = (left_ms as f64 / TURN_MS as f64).floor().max(1.0);
-        let wanted = (open as f64 * HASTE / turns).ceil() as usize;
-        wanted.min(self.plan.most_down as usize)
+        let cycles = (left_ms as f64 / HOST_CYCLE_MS as f64).floor().max(1.0);
+        let wanted = (open as f64 * HEADROOM / cycles).ceil() as usize;
+        wanted.min(self.plan.max_down as usize)
     }
 
-    /// may_go_down tells whether one more host may be down beside the others.
+    /// may_go_down reports whether the plan allows this host to be down together
+    /// with the others that are.
     pub(super) fn may_go_down(&self, host: usize) -> bool {
         let others = self.hosts.iter().enumerate();
         let down = others.filter(|(other, entry)| *other != host && entry.is_down());
-        down.count() < self.plan.most_down as usize
+        down.count() < self.plan.max_down as usize
     }
 }
--- a/crates/stackpier-cell/src/mechanism.rs
+++ b/crates/stackpier-cell/src/mechanism.rs
@@ -1,76 +1,80 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The mechanisms of the decisions, each of which can be switched off to measure what
-//! it is worth.
+//! Mechanisms of the scheduler's decisions. Each can be switched off to measure what it
+//! contributes.
 
 use std::str::FromStr;
 
 use stackpier_core::field::{Invalid, invalid};
 
-/// Mechanism is one of them.
+/// Mechanism is a part of the decisions that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Tasks that count go where the least room is left.
+    /// Guaranteed tasks go to the worker that is left with the least free capacity.
     Packing,
     /// Serving tasks go to workers that serve their image, then to empty ones.
     SameImage,
-    /// Serving tasks go beside those that the same filling images disturb.
+    /// Serving tasks go beside those that the same best-effort images disturb.
     Exposure,
-    /// Filling tasks wait where a start would harm serving tasks too much.
+    /// Best-effort tasks wait where a start would harm serving tasks too much.
     Harm,
-    /// Filling tasks with time to spare wait for less harm.
+    /// Best-effort tasks with slack wait for a worker where a start does less harm.
     LowerHarm,
-    /// Memory is kept free of filling tasks.
+    /// Memory is kept free of best-effort tasks, for short ones.
     Reserve,
-    /// Filling tasks wait for unused processors.
+    /// Best-effort tasks wait for unused processors.
     Unused,
-    /// What fills is slowed down and raised again.
+    /// The pace of best-effort tasks is lowered and raised with the load of serving tasks.
     Pace,
-    /// What fills beside a task that was over its target for long is moved or paused.
+    /// Best-effort tasks beside a task that was over its target for long are moved or paused.
     Relief,
-    /// Filling tasks that stand nearly still are moved.
+    /// Best-effort tasks that were slowed to a low pace for long are moved.
     Moves,
-    /// Tasks that last go first once they have waited.
+    /// Long-running tasks go first once they have waited.
     LongRunningFirst,
     /// Jobs with the fewest tasks left go first.
     FewestLeft,
-    /// What can't be in time any more goes last.
+    /// Jobs that can no longer meet their deadline go last.
     LateLast,
-    /// What is of no use any more goes after what is late.
+    /// Expired jobs go after those that miss their deadline.
     ExpiredLast,
     /// Workers that fail runs get no starts for a while.
     Health,
-    /// Tasks with one failure left wait for a worker that lately did work.
+    /// Tasks that are close to their last failure wait for a worker with a recent success.
     Trust,
-    /// Tasks under which workers crash are started apart from others, and given up.
+    /// Tasks suspected of crashing workers are started apart from others, and given up
+    /// in the end.
     Suspects,
-    /// Runs that stand still are moved.
+    /// Stalled runs are moved.
     Stall,
-    /// Copies of runs that lag are started.
+    /// Lagging runs are copied.
     Copies,
-    /// Steps that had nothing running for long get a task in spite of the bounds.
+    /// Steps that have had nothing running for long get one task started without the
+    /// limits that protect others.
     Starving,
-    /// Workers are emptied of serving tasks for what disturbs most of them.
+    /// Serving tasks are moved off some workers, for best-effort tasks that disturb most
+    /// serving images.
     Spare,
-    /// Workers are dedicated to short tasks that find no room.
+    /// Workers are dedicated to short tasks that fit nowhere.
     Dedicated,
-    /// Tasks that last take turns where there is not room for all.
+    /// Long-running tasks get time slices where not all of them fit.
     Rotation,
-    /// Room is kept for tasks that have waited for long.
+    /// Capacity is reserved for tasks that have waited for long.
     Reservations,
-    /// Pairs and own loads are learnt.
+    /// The effect of best-effort images on serving ones, and the own load of serving
+    /// tasks, are learnt.
     Learning,
-    /// A task's deviation from its step's load counts in what is expected.
+    /// The deviation of a task's load from its step's counts in the expected load.
     Deviation,
-    /// What was learnt is kept for a later owner.
+    /// What was learnt is saved for a successor.
     SavedModel,
-    /// An owner without the store is replaced.
+    /// An owner that cannot reach the store is replaced.
     Storeless,
-    /// A daemon that does not hear the owner asks the others before it takes over.
+    /// A daemon that the owner does not answer asks the other daemons before it takes over.
     Votes,
 }
 
 impl Mechanism {
-    /// ALL lists the mechanisms.
+    /// ALL lists all mechanisms.
     pub const ALL: [Mechanism; 29] = [
         Mechanism::Packing,
         Mechanism::SameImage,
@@ -103,7 +107,7 @@
         Mechanism::Votes,
     ];
 
-    /// as_str returns the name in settings and tables.
+    /// as_str returns the name of the mechanism in settings and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Mechanism::Packing => "packing",
@@ -149,12 +153,12 @@
     }
 }
 
-/// Mechanisms is a set of them.
+/// Mechanisms is a set of mechanisms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms(u32);
 
 impl Mechanisms {
-    /// contains tells whether a mechanism is in the set.
+    /// contains reports whether a mechanism is in the set.
     pub fn contains(self, mechanism: Mechanism) -> bool {
         self.0 & (1 << mechanism as u32) != 0
     }
--- a/crates/stackpier-cell/src/model_snapshot.rs
+++ b/crates/stackpier-cell/src/model_snapshot.rs
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What was learnt of pairs and of the load of serving tasks, in a form that a
-//! later owner can take over.
+//! Snapshot of the model: what was learnt of pairs of images and of the load of
+//! serving tasks, in a form that a successor can take over.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::Millis;
 
 use crate::{Cell, Mechanism, interference::Estimate};
 
-/// SAVE_MS is the least time between two saves of what was learnt. A pair is
-/// known after some seconds, and it rides on saves that are made anyway.
+/// SAVE_MS is the least time between two saves of the model. A pair is known after
+/// some seconds, and the snapshot is part of saves that are made anyway.
 const SAVE_MS: u64 = 1_500;
 
-/// SavedEstimate is one learnt value.
+/// SavedEstimate is one learnt value, as it is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedEstimate {
     /// The expected value.
     pub mean: f32,
-    /// How uncertain it is.
+    /// The variance of the value.
     pub variance: f32,
 }
 
@@ -38,26 +38,26 @@
     }
 }
 
-/// ServingImage is what was learnt of one serving image.
+/// ServingImage holds what was learnt of one serving image.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServingImage {
     /// The image.
     pub image: String,
-    /// The filling images seen beside it, with their effect for one core.
+    /// The best-effort images seen beside it, each with its effect per core.
     pub pairs: Vec<(String, SavedEstimate)>,
 }
 
-/// ModelSnapshot is everything that was learnt.
+/// ModelSnapshot holds everything that was learnt.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ModelSnapshot {
     /// What was learnt of each serving image.
     pub serving: Vec<ServingImage>,
-    /// How well each period of the serving tasks' own load did.
+    /// How well each candidate period fits the serving tasks' own load, as a score.
     pub periods: Vec<f64>,
 }
 
 impl Cell {
-    /// restore_model takes over what an earlier owner learnt.
+    /// restore_model takes over what a predecessor learnt.
     pub fn restore_model(&mut self, snapshot: &ModelSnapshot) {
         for serving in &snapshot.serving {
             let image = self.images.key(&serving.image);
--- a/crates/stackpier-cell/src/obstacle.rs
+++ b/crates/stackpier-cell/src/obstacle.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What keeps a waiting task from the workers, and which steps wait with nothing
-//! running.
+//! Obstacles that keep waiting tasks from workers, and log lines on steps that
+//! wait with nothing running.
 
 use stackpier_state::explain::{self, Cause, Tally};
 
@@ -9,38 +9,43 @@
     arena::{StepKey, TaskKey},
 };
 
-/// IDLE_MS is how long a step may have nothing running, though its turn has come,
-/// before the log says why: users call a job lost from three seconds on.
+/// IDLE_MS is how long a ready step may have nothing running before the log gives
+/// the reason: client accounts count a job as lost from three seconds on.
 const IDLE_MS: u64 = 2_000;
-/// MOST_NOTED is for how many such steps the log says why at a time, the longest
-/// waiting first.
+/// MAX_LOGGED is for how many such steps the log gives the reason at a time, those
+/// that have waited longest first.
 const MAX_LOGGED: usize = 3;
 
-/// Obstacle is what keeps a task from a worker.
+/// Obstacle is the reason why a worker cannot take a task.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(crate) enum Obstacle {
-    /// It is of another service, lacks the step's label or ticket, or has as
-    /// many tasks of the step as it may.
+    /// The worker belongs to another service, lacks the step's label or ticket, or
+    /// has as many tasks of the step as allowed.
     Excluded,
-    /// It gets no starts now: it does not answer, leaves, or fails runs.
+    /// The worker gets no starts now: for example, it does not answer, is about to
+    /// leave, or fails runs.
     Unusable,
-    /// It runs tasks that serve, and nothing is to fill beside these.
+    /// The worker runs serving tasks, and best-effort tasks may not run beside them.
     Apart,
-    /// It lacks free processors, memory or accelerators.
+    /// The worker lacks free processors, memory or accelerators.
     Full,
-    /// It lacks the memory that is kept free of filling tasks.
+    /// The worker's free capacity is kept for short tasks: memory that best-effort
+    /// tasks must leave free, or a dedicated worker.
     Reserve,
-    /// Too few of its processors are expected to be unused.
+    /// Too few of the worker's processors are expected to be unused.
     Busy,
-    /// The effect of the last start in spite of these bounds was not seen yet.
+    /// A relaxed start on the worker was so recent that its effect has not been
+    /// reported yet.
     Unsettled,
-    /// The expected harm to its serving tasks is this high.
+    /// The expected harm to the worker's serving tasks, which is above the limit.
     Harm(f64),
-    /// It is not in the rack of the data, and there is time to wait for one.
+    /// The worker is not in the rack of the step's data, and there is time to wait
+    /// for one that is.
     Far,
 }
 
 impl Obstacle {
+    /// kind returns the kind of the obstacle, as operators are shown it.
     fn kind(self) -> explain::Obstacle {
         match self {
             Obstacle::Excluded => explain::Obstacle::Excluded,
@@ -56,83 +61,87 @@
     }
 }
 
-/// count counts a worker by what keeps a task from it.
-fn count(tally: &mut Tally, offer: Result<f64, Obstacle>) {
-    let Err(obstacle) = offer else {
+/// count_worker adds a worker to a tally, as free or under its obstacle.
+fn count_worker(tally: &mut Tally, rating: Result<f64, Obstacle>) {
+    let Err(obstacle) = rating else {
         tally.free += 1;
         return;
     };
     tally.keep(obstacle.kind());
     if let Obstacle::Harm(harm) = obstacle {
-        let least = tally.least_harm.unwrap_or(f64::MAX);
-        tally.least_harm = Some(least.min(harm));
+        let min_harm = tally.least_harm.unwrap_or(f64::MAX);
+        tally.least_harm = Some(min_harm.min(harm));
     }
 }
 
-/// Idle is a step whose turn has come and that has nothing running.
+/// IdleStep is a step with tasks to place, and for how long it has had nothing
+/// running.
 #[derive(Clone, Copy, Debug)]
-struct Idle {
+struct IdleStep {
     step: StepKey,
     task: TaskKey,
     long_running: bool,
-    waits_ms: u64,
+    waited_ms: u64,
 }
 
 impl Cell {
-    /// longest_wait_ms returns for how long a step has had nothing running though
-    /// its turn has come: of all steps the longest time, zero if there is none.
+    /// longest_wait_ms returns the longest time for which a ready step has had
+    /// nothing running, zero if there is no such step.
     pub fn longest_wait_ms(&self) -> u64 {
-        let waits = self.idle().map(|idle| idle.waits_ms);
+        let waits = self.idle_steps().map(|idle| idle.waited_ms);
         waits.max().unwrap_or(0)
     }
 
-    /// log_idle writes what keeps the longest waiting steps without a run, those of
-    /// tasks that last and the others by themselves.
+    /// log_idle logs why the longest waiting steps have nothing running, those of
+    /// long-running tasks and the others separately.
     pub(crate) fn log_idle(&mut self) {
-        let mut idle: Vec<Idle> = self.idle().collect();
-        idle.retain(|idle| idle.waits_ms >= IDLE_MS);
-        idle.sort_by_key(|idle| std::cmp::Reverse(idle.waits_ms));
-        let (long_running, others): (Vec<Idle>, Vec<Idle>) =
+        let mut idle: Vec<IdleStep> = self.idle_steps().collect();
+        idle.retain(|idle| idle.waited_ms >= IDLE_MS);
+        idle.sort_by_key(|idle| std::cmp::Reverse(idle.waited_ms));
+        let (long_running, others): (Vec<IdleStep>, Vec<IdleStep>) =
             idle.into_iter().partition(|idle| idle.long_running);
-        self.log_longest("a task that lasts has not run", &long_running);
-        self.log_longest("nothing of the step has run", &others);
+        self.log_longest("a long-running task has not run", &long_running);
+        self.log_longest("no task of the step has run", &others);
     }
 
-    fn log_longest(&mut self, what: &str, idle: &[Idle]) {
+    fn log_longest(&mut self, what: &str, idle: &[IdleStep]) {
         let count = idle.len();
         for idle in idle.iter().take(MAX_LOGGED) {
             let why = self.obstacles(idle.step);
             let text = format!(
-                "{what} for {} ms, one of {count} such: {why}",
-                idle.waits_ms
+                "{what} for {} ms, one of {count} such steps: {why}",
+                idle.waited_ms
             );
             let name: TaskName = self.name(idle.task);
             self.log("wait", Some(name), text);
         }
     }
 
-    /// log_stranded writes which tasks could run and stand in no list: they are
-    /// neither done, running nor waiting to be placed. There are none unless a
-    /// decision went wrong.
+    /// log_stranded logs tasks that could run and are neither done, nor running, nor
+    /// waiting to be placed. There are none unless the scheduler made an error.
     pub(crate) fn log_stranded(&mut self) {
-        let stranded: Vec<TaskKey> = self.stranded().collect();
+        let stranded: Vec<TaskKey> = self.stranded_tasks().collect();
         let Some(first) = stranded.first() else {
             return;
         };
         let name = self.name(*first);
-        let text = format!("{} tasks that could run are in no list", stranded.len());
+        let text = format!(
+            "{} tasks could run, but are neither running nor waiting to be placed",
+            stranded.len()
+        );
         self.log("wait", Some(name), text);
     }
 
-    fn stranded(&self) -> impl Iterator<Item = TaskKey> + '_ {
+    /// stranded_tasks returns the tasks that could run and that no list holds.
+    fn stranded_tasks(&self) -> impl Iterator<Item = TaskKey> + '_ {
         let open = self.jobs.iter().filter(|job| !job.state.is_final());
         let tasks = open.flat_map(|job| job.first_task.0..job.first_task.0 + job.tasks);
         tasks.map(TaskKey).filter(|key| {
             let task = self.task(*key);
             let step = self.step_of(task.step);
             let due = step.due_unix_ms <= self.now.unix.0;
-            let listed = task.done || task.ready || !task.runs.is_empty();
-            !listed && step.blocked_by == 0 && due
+            let accounted_for = task.done || task.ready || !task.runs.is_empty();
+            !accounted_for && step.blocked_by == 0 && due
         })
     }
 
@@ -156,10 +165,10 @@
             ..Tally::default()
         };
         for worker in self.live_workers() {
-            let offer = self
+            let rating = self
                 .rate_worker(&demand, worker)
                 .map_err(|obstacle| match obstacle {
-                    // What it would be in all, not only as far as it was looked at.
+                    // `rate_worker` stops adding up harm at the limit; this is all of it.
                     Obstacle::Harm(_) => Obstacle::Harm(self.harm(
                         worker,
                         demand.image,
@@ -168,7 +177,7 @@
                     )),
                     other => other,
                 });
-            count(&mut tally, offer);
+            count_worker(&mut tally, rating);
         }
         tally
             .kept
@@ -176,18 +185,19 @@
         Cause::Workers(tally)
     }
 
-    /// idle returns the steps with tasks to place and nothing running; of tasks that
-    /// last, those with one that does not run.
-    fn idle(&self) -> impl Iterator<Item = Idle> + '_ {
+    /// idle_steps returns the steps with tasks to place, and for how long each has had
+    /// nothing running; a step of long-running tasks, for how long one of them has
+    /// not run.
+    fn idle_steps(&self) -> impl Iterator<Item = IdleStep> + '_ {
         self.queued().filter_map(|key| {
             let step = self.step_of(key);
             let task = *step.ready.first()?;
             let over = self.job(step.job).state.is_final();
-            (!over).then(|| Idle {
+            (!over).then(|| IdleStep {
                 step: key,
                 task,
                 long_running: self.step_spec(key).long_running,
-                waits_ms: self.idle_ms(key),
+                waited_ms: self.idle_ms(key),
             })
         })
     }
--- a/crates/stackpier-cell/src/options.rs
+++ b/crates/stackpier-cell/src/options.rs
@@ -1,33 +1,35 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The settings of a cell's decisions.
+//! Options of a cell's decisions.
 
 use crate::Mechanisms;
 
-/// RATINGS_PER_CORE is how many ratings a millisecond a daemon with one core may do. At
-/// 50 ns each, measured on a cell of 500 workers, that is two fifths of the core: the
-/// rest is for reports, calls, requests and heartbeats.
+/// RATINGS_PER_CORE is how many ratings per millisecond a daemon with one core may make.
+/// At 50 ns each, on a cell of 500 workers, they take two fifths of the core: the rest
+/// is for reports, calls, requests and heartbeats.
 pub const RATINGS_PER_CORE: u32 = 8_000;
 
 /// Options are the times, limits and weights of a cell. Times are in
 /// milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// How long a lease lasts from the moment it is sent. Long enough to ride
-    /// out a cut of five seconds, short enough that the tasks of a dead worker
+    /// How long a lease lasts from the moment it is sent. Long enough to outlast
+    /// a network cut of five seconds, short enough that the tasks of a dead worker
     /// start elsewhere within seven.
     pub lease_ms: u64,
-    /// The longest lease a worker grants; leases of an earlier owner are taken
-    /// to have lasted this long.
+    /// The longest lease a worker grants. Leases of a predecessor are assumed to
+    /// last this long.
     pub max_lease_ms: u64,
     /// How long this daemon acts as the owner without a confirmation by the
-    /// store. A successor waits this long before it takes an earlier owner to
-    /// have stopped.
+    /// store. A successor waits this long before it assumes that its predecessor
+    /// has stopped.
     pub authority_ms: u64,
-    /// How long an idle hold on a worker waits for an end.
+    /// How long a lease renewal waits on a worker for the end of a run, before it
+    /// is answered without one.
     pub renewal_wait_ms: u64,
-    /// The same on a worker with serving tasks, whose latency is wanted often.
+    /// The same on a worker with serving tasks, whose tail latency must be reported
+    /// often.
     pub serving_renewal_wait_ms: u64,
-    /// The pause before a hold that failed is tried again.
+    /// The pause before a failed lease renewal is sent again.
     pub retry_ms: u64,
     /// The pause before an unanswered stop is sent again.
     pub stop_retry_ms: u64,
@@ -37,45 +39,47 @@
     pub save_gap_ms: u64,
     /// The pause before a failed save is tried again.
     pub save_retry_ms: u64,
-    /// How long an idle owner goes without asking who owns the cell.
+    /// How long an idle owner waits until it asks the store again who owns the cell.
     pub confirm_ms: u64,
     /// How long a finished job is shown.
     pub show_ms: u64,
-    /// How long a worker that left the list may still get starts.
+    /// How long a worker that is no longer listed may still get starts.
     pub unlisted_ms: u64,
     /// How long the list may still show a worker that has crashed: three heartbeats of
-    /// 1.5 s until its entry lapses, and one for the list to reach the owner.
+    /// 1.5 s until its entry expires, and one for the list to reach the owner.
     pub stale_entry_ms: u64,
     /// How much earlier than its due time a round may start.
     pub early_ms: u64,
-    /// Share of a serving task's reservation that it is taken to use, in
-    /// thousandths. Trials packed best at 600.
+    /// Share of its reservation that a serving task is assumed to use, in
+    /// thousandths.
     pub serving_usage_milli: u32,
     /// The highest expected rise in the number of serving tasks over target
-    /// that placing a filling task may cause.
+    /// that the start of a best-effort task may cause.
     pub max_harm: f64,
-    /// The same for a task whose job still has half of its remaining chain to
-    /// spare: it can wait for a better place at no cost.
+    /// The same for a task whose job has a slack of more than half of its longest
+    /// remaining chain of work: it can wait for a better worker at no cost. It also
+    /// applies to jobs that miss their deadline.
     pub max_harm_with_slack: f64,
-    /// How much run time of a filling task may be lost by moving it, if it has
-    /// no checkpoint.
+    /// How much run time of a best-effort task without checkpoints may be lost by
+    /// moving it.
     pub max_move_loss_ms: u64,
-    /// How long after a take-over no host is ordered down, so that two owners
-    /// don't take turns in orders for one host.
+    /// How long after a take-over no host is ordered down, so that the orders of
+    /// two owners for one host never alternate.
     pub take_down_gap_ms: u64,
-    /// A run whose progress stands still for this long is moved.
+    /// A run without progress for this long is moved; a tenth of the task's estimate
+    /// is added.
     pub stall_ms: u64,
     /// A copy of a speculative task starts once it has run for this many
     /// percent of its estimate.
     pub speculate_percent: u64,
-    /// How many ratings of workers and of serving tasks placing may do in a
-    /// millisecond, over time: see [`RATINGS_PER_CORE`].
+    /// How many ratings of workers and of serving tasks placement may make per
+    /// millisecond on average: see [`RATINGS_PER_CORE`].
     pub ratings_per_ms: u32,
-    /// How many bytes of starts may be on their way to workers at a time.
+    /// How many bytes of starts may be in flight to workers at a time.
     pub max_start_bytes: u64,
-    /// How many starts may be on their way to workers at a time.
+    /// How many starts may be in flight to workers at a time.
     pub max_starts: usize,
-    /// Whether a task that fills may run beside a task that serves.
+    /// Whether best-effort tasks may run beside serving tasks.
     pub colocate: bool,
     /// Mechanisms that are switched off.
     pub without: Mechanisms,
--- a/crates/stackpier-cell/src/speculate.rs
+++ b/crates/stackpier-cell/src/speculate.rs
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Runs that stand still or lag: moved, or started a second time where copies
-//! are allowed.
+//! Runs that stall or lag: they are moved, or copied where the step allows copies.
 
 use crate::{
     Cell, Mechanism,
@@ -9,15 +8,16 @@
     takeover::MAX_CONFIRMATION_AGE_MS,
 };
 
-/// MIN_LAG_MS is the least time by which a run lags before a copy starts.
+/// MIN_LAG_MS is by how much a run must exceed its estimated run time, at least, to be
+/// copied.
 const MIN_LAG_MS: u64 = 400;
-/// START_MS is how long a lasting task may take to be at work.
+/// START_MS is how long a long-running task may take from its start until it works.
 const START_MS: u64 = 4_000;
 
 impl Cell {
-    /// check_runs moves runs that stand still and sends stops again.
+    /// check_runs moves stalled runs and sends unanswered stops again.
     pub(crate) fn check_runs(&mut self) {
-        for key in self.runs_now() {
+        for key in self.collect_runs() {
             let Some(run) = self.runs.get(key) else {
                 continue;
             };
@@ -29,15 +29,15 @@
         }
     }
 
-    /// runs_now returns all runs as a list, for loops that change them.
-    fn runs_now(&self) -> Vec<RunKey> {
+    /// collect_runs returns all runs as a list, for loops that change them.
+    fn collect_runs(&self) -> Vec<RunKey> {
         let workers = self.workers.iter();
         workers.flat_map(|worker| worker.runs.clone()).collect()
     }
 
-    /// check_stall moves a run whose progress stands still, by the last report of its worker.
-    /// The time since then counts for nothing: without authority no reports are asked for, and
-    /// runs that got on all the while were stopped.
+    /// check_stall moves a run that made no progress for long up to the last report of its
+    /// worker. The time since that report does not count: an owner without authority requests
+    /// no reports, and would stop runs that have made progress meanwhile.
     fn check_stall(&mut self, key: RunKey) {
         let now = self.now.mono;
         let Some(run) = self.runs.get(key) else {
@@ -45,15 +45,15 @@
         };
         let worker = self.worker(run.worker);
         let estimate = u64::from(self.step_spec(run.step).estimate_ms);
-        // One percent of a long task takes long by itself.
+        // Progress comes in whole percents, and one percent of a long task takes long.
         let limit = self.options.stall_ms + estimate / 10;
         let limit = if run.long_running { START_MS } else { limit };
-        let heard = worker.is_responsive();
+        let responsive = worker.is_responsive();
         let reported = worker.clock.map_or(run.progressed_at, |clock| clock.at);
         let still_ms = reported.since(run.progressed_at);
         let at_work = run.long_running && run.percent >= 100;
         if !self.is_enabled(Mechanism::Stall)
-            || !heard
+            || !responsive
             || at_work
             || run.pace < 100
             || still_ms < limit
@@ -72,32 +72,32 @@
         self.stop(key);
     }
 
-    /// check_copies readies a second run of tasks that lag, where copies are
-    /// allowed.
+    /// check_copies starts a second run of lagging tasks, where copies are allowed.
     pub(crate) fn check_copies(&mut self) {
-        for key in self.runs_now() {
-            if let Some(task) = self.lagging(key) {
-                self.copy(task);
+        for key in self.collect_runs() {
+            if let Some(task) = self.lagging_task(key) {
+                self.start_copy(task);
             }
         }
     }
 
-    fn lagging(&self, key: RunKey) -> Option<TaskKey> {
+    /// lagging_task returns the task of a run, if the run lags and may be copied.
+    fn lagging_task(&self, key: RunKey) -> Option<TaskKey> {
         let run = self.runs.get(key)?;
-        let shape = self.step_spec(run.step);
+        let spec = self.step_spec(run.step);
         let task = self.task(run.task);
         let alone = task.runs.len() == 1 && !task.done && !task.ready;
-        let goes_on = run.phase == Phase::Running && !self.job_of(run.task).state.is_final();
+        let active = run.phase == Phase::Running && !self.job_of(run.task).state.is_final();
         if !self.is_enabled(Mechanism::Copies)
-            || !shape.speculative
+            || !spec.speculative
             || !alone
-            || !goes_on
-            || shape.long_running
-            || shape.gang
+            || !active
+            || spec.long_running
+            || spec.gang
         {
             return None;
         }
-        let estimate = u64::from(shape.estimate_ms);
+        let estimate = u64::from(spec.estimate_ms);
         let limit = estimate * self.options.speculate_percent / 100;
         let late = self.now.mono.since(run.since) > limit.max(estimate + MIN_LAG_MS);
         let expected = self.now.mono.since(run.since) * 100 / estimate.max(1);
@@ -105,18 +105,20 @@
         (late && lags && self.is_current(run)).then_some(run.task)
     }
 
-    /// is_current tells whether no later owner can have noted the end of a run some time ago:
-    /// its worker has just answered this owner, so that it had met no later one, or the store
-    /// has just confirmed the ownership. What is not heard of would seem to lag.
+    /// is_current reports whether no successor can have recorded the end of a run some time ago:
+    /// the run's worker has just answered this owner, so no successor had contacted it, or the
+    /// store has just confirmed the ownership. A run that has ended without this owner learning
+    /// of it would seem to lag.
     pub(crate) fn is_current(&self, run: &Run) -> bool {
         let answered = self.worker(run.worker).clock.map(|clock| clock.at);
-        let sign = answered.map_or(self.ownership.confirmed, |at| {
+        let last_proof = answered.map_or(self.ownership.confirmed, |at| {
             at.max(self.ownership.confirmed)
         });
-        self.now.mono.since(sign) < MAX_CONFIRMATION_AGE_MS
+        self.now.mono.since(last_proof) < MAX_CONFIRMATION_AGE_MS
     }
 
-    fn copy(&mut self, task: TaskKey) {
+    /// start_copy starts a second run of a task, if a worker can take it.
+    fn start_copy(&mut self, task: TaskKey) {
         let demand = self.demand(self.task(task).step);
         let worker = demand.and_then(|demand| self.find_worker(task, &demand));
         let Some(worker) = worker else {
@@ -126,7 +128,7 @@
         self.log(
             "speculate",
             Some(name),
-            "a copy starts: the first run lags".to_owned(),
+            "starting a copy: the first run lags".to_owned(),
         );
         self.start(task, worker);
     }
--- a/crates/stackpier-cell/src/summary.rs
+++ b/crates/stackpier-cell/src/summary.rs
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A line a second on how full the cell is.
+//! Summary log lines, written every second: how full the cell is, and what waits.
 
 use stackpier_core::Millis;
-use stackpier_state::job::Step as Shape;
+use stackpier_state::job::Step as StepSpec;
 
 use crate::{Cell, arena::StepKey, place::Rank, run::Run, worker::Worker};
 
@@ -11,16 +11,16 @@
 /// CORE is the number of thousandths in a core.
 const CORE: u64 = 1_000;
 
-/// Totals sums up the runs of a cell.
+/// Totals holds the sums over all runs of a cell. Cores are in thousandths.
 #[derive(Debug, Default)]
 struct Totals {
-    serving: u32,
-    over: u32,
+    long_running: u32,
+    over_target: u32,
     best_effort: u32,
     slowed: u32,
     short: u32,
     best_effort_cores: u64,
-    serving_cores: u64,
+    long_running_cores: u64,
     short_cores: u64,
 }
 
@@ -32,9 +32,9 @@
             self.best_effort_cores += u64::from(run.used_milli.unwrap_or(run.size.milli_cores));
             self.slowed += u32::from(run.pace < 100);
         } else if run.long_running {
-            self.serving += 1;
-            self.serving_cores += cores;
-            self.over += u32::from(run.over_since.is_some());
+            self.long_running += 1;
+            self.long_running_cores += cores;
+            self.over_target += u32::from(run.over_since.is_some());
         } else {
             self.short += 1;
             self.short_cores += cores;
@@ -43,7 +43,7 @@
 }
 
 impl Cell {
-    /// log_summary writes a summary, if one is due.
+    /// log_summary logs a summary, if one is due.
     pub(crate) fn log_summary(&mut self) {
         let now = self.now.mono;
         if now.since(self.summary_logged_at) < SUMMARY_MS {
@@ -57,18 +57,18 @@
             .iter()
             .map(|key| u64::from(self.worker(*key).info.capacity.milli_cores))
             .sum();
-        let ready = |wanted: fn(&Shape) -> bool| -> usize {
+        let ready = |wanted: fn(&StepSpec) -> bool| -> usize {
             let steps = self.queued().filter(|step| wanted(self.step_spec(*step)));
             steps.map(|step| self.step_of(step).ready.len()).sum()
         };
         let text = format!(
-            "{} workers of {} cores: serving {} ({} cores reserved, {} over target), \
-             filling {} ({} cores used, {} slowed), short {} ({} cores); waiting {} short, {} that last and {} that fill",
+            "{} workers of {} cores: long-running {} ({} cores reserved, {} over target), \
+             best-effort {} ({} cores used, {} slowed), short {} ({} cores); waiting {} short, {} long-running and {} best-effort",
             live.len(),
             cores / CORE,
-            totals.serving,
-            totals.serving_cores / CORE,
-            totals.over,
+            totals.long_running,
+            totals.long_running_cores / CORE,
+            totals.over_target,
             totals.best_effort,
             totals.best_effort_cores / CORE,
             totals.slowed,
@@ -85,21 +85,24 @@
         self.log_idle();
         self.log_stranded();
         self.log_uncontacted();
-        self.describe_model();
+        self.log_model();
     }
 
-    /// log_short tells how large the short jobs are that wait, and in what pieces the room is
-    /// that they may take.
+    /// log_short logs how large the waiting short steps are, and how the capacity that they may
+    /// use is spread over workers.
     fn log_short(&mut self) {
         let is_short = |step: &StepKey| {
-            let shape = self.step_spec(*step);
-            !shape.best_effort && !shape.long_running
+            let spec = self.step_spec(*step);
+            !spec.best_effort && !spec.long_running
         };
         let waiting: Vec<StepKey> = self.queued().filter(is_short).collect();
         if waiting.is_empty() {
             return;
         }
-        let mut cores: Vec<u64> = waiting.iter().map(|step| self.cores_left(*step)).collect();
+        let mut cores: Vec<u64> = waiting
+            .iter()
+            .map(|step| self.waiting_cores(*step))
+            .collect();
         cores.sort_unstable();
         let expired = |step: &&StepKey| matches!(self.rank_of(**step), Rank::Expired(_));
         let expired = waiting.iter().filter(expired).count();
@@ -108,7 +111,7 @@
         let free: Vec<u32> = free.map(|worker| worker.free().milli_cores).collect();
         let total: u64 = free.iter().copied().map(u64::from).sum();
         let text = format!(
-            "{} short steps wait, {expired} too late to be of use; their tasks ask for {} cores in the \
+            "{} short steps wait, {expired} of them expired; their tasks ask for {} cores in the \
              median and {} at most; {} cores are free in all, {} at most on one worker",
             cores.len(),
             cores[cores.len() / 2],
@@ -119,7 +122,7 @@
         self.log("summary", None, text);
     }
 
-    /// log_dedicated tells who uses the room of the workers that are dedicated to short tasks.
+    /// log_dedicated logs what uses the workers that are dedicated to short tasks.
     fn log_dedicated(&mut self) {
         let workers = self.live_workers().map(|key| self.worker(key));
         let dedicated: Vec<&Worker> = workers
@@ -133,7 +136,7 @@
             milli.sum::<u64>() / CORE
         };
         let text = format!(
-            "{} workers of {} cores are dedicated to short tasks; tasks that last reserve {} of these, {} are free",
+            "{} workers of {} cores are dedicated to short tasks; long-running tasks reserve {} of these, {} are free",
             dedicated.len(),
             cores(|worker| worker.info.capacity.milli_cores),
             cores(|worker| worker.long_running_milli),
@@ -142,19 +145,19 @@
         self.log("summary", None, text);
     }
 
-    /// cores_left returns the cores that the tasks of a step ask for which wait.
-    fn cores_left(&self, step: StepKey) -> u64 {
+    /// waiting_cores returns the cores that the waiting tasks of a step ask for.
+    fn waiting_cores(&self, step: StepKey) -> u64 {
         let tasks = self.step_of(step).ready.len() as u64;
         tasks * u64::from(self.step_spec(step).size.milli_cores) / CORE
     }
 
-    /// describe_model writes what is believed of each serving image.
-    fn describe_model(&mut self) {
+    /// log_model logs what has been learnt of each serving image.
+    fn log_model(&mut self) {
         let period = self.cycle.period_s();
         self.log(
             "model",
             None,
-            format!("serving load swings with {period:.1} s"),
+            format!("serving load has a period of {period:.1} s"),
         );
         for text in self.model.describe() {
             self.log("model", None, text);
--- a/crates/stackpier-cell/tests/lateness.rs
+++ b/crates/stackpier-cell/tests/lateness.rs
@@ -48,9 +48,6 @@
     owner.advance(100);
     owner.submit(SECOND, spec(vec![whole(1_000)]));
     owner.advance(20_000);
-    assert_eq!(
-        lines(&owner, "too late to be of use, 1 tasks left").len(),
-        1
-    );
-    assert!(lines(&owner, "ms after its objective")[0].contains("too late"));
+    assert_eq!(lines(&owner, "job has expired, 1 tasks left").len(), 1);
+    assert!(lines(&owner, "ms after its objective")[0].contains("has expired"));
 }
--- a/crates/stackpier-cell/tests/maintenance.rs
+++ b/crates/stackpier-cell/tests/maintenance.rs
@@ -14,12 +14,12 @@
 /// DOWN_MS is how long the stand-in keeps a host down.
 const DOWN_MS: u64 = 2_000;
 
-fn plan(hosts: &[usize], within_ms: u64, most_down: u32) -> Plan {
+fn plan(hosts: &[usize], within_ms: u64, max_down: u32) -> Plan {
     Plan {
         number: 7,
         hosts: hosts.iter().map(|host| format!("h{host}")).collect(),
         within_ms,
-        most_down,
+        max_down,
     }
 }
 
--- a/crates/stackpier-cell/tests/restarts.rs
+++ b/crates/stackpier-cell/tests/restarts.rs
@@ -316,7 +316,7 @@
         number: 1,
         hosts: vec!["h0".to_owned(), "h1".to_owned()],
         within_ms: 10_000,
-        most_down: 1,
+        max_down: 1,
     }));
     // Each is down for two seconds.
     owner.advance(8_000);
