--- a/crates/stackpier-cell/src/maintenance.rs
+++ b/crates/stackpier-cell/src/maintenance.rs
@@ -144,7 +144,7 @@
     /// begin_emptying starts to empty as many further hosts as the plan needs now.
     fn begin_emptying(&mut self, plan: usize) {
         let now = self.now.mono;
-        // A host that is empty before it may be ordered down is only wasted.
+        // A host that is empty before it may be ordered down would only stand idle.
         if now.plus(LEAD_MS) < self.take_downs_from {
             return;
         }
--- a/crates/stackpier-cell/src/maintenance/empty.rs
+++ b/crates/stackpier-cell/src/maintenance/empty.rs
@@ -48,9 +48,9 @@
         }
     }
 
-    /// reopen lets a host that cannot be emptied now get starts again. A stopped
-    /// task of a step may fit nowhere else, while the step's tasks that are left
-    /// here may be stopped only once it works again.
+    /// reopen lets a host that cannot be emptied now get starts again. A task that
+    /// was stopped here may fit nowhere else, and other tasks of its step that are
+    /// left here may be stopped only once it works again.
     fn reopen(&mut self, key: HostKey) {
         let not_before = self.now.mono.plus(RETRY_MS);
         let host = self.host_mut(key);
--- a/crates/stackpier-cell/src/mechanism.rs
+++ b/crates/stackpier-cell/src/mechanism.rs
@@ -25,7 +25,7 @@
     Unused,
     /// The pace of best-effort tasks is lowered and raised with the load of serving tasks.
     Pace,
-    /// Best-effort tasks beside a task that was over its target for long are moved or paused.
+    /// Best-effort tasks beside a serving task that was over its target for long are moved or paused.
     Relief,
     /// Best-effort tasks that were slowed to a low pace for long are moved.
     Moves,
@@ -39,10 +39,10 @@
     ExpiredLast,
     /// Workers that fail runs get no starts for a while.
     Health,
-    /// Tasks that are close to their last failure wait for a worker with a recent success.
+    /// Tasks that may fail only once more wait for a worker with a recent success.
     Trust,
     /// Tasks suspected of crashing workers are started apart from others, and given up
-    /// in the end.
+    /// after several crashes.
     Suspects,
     /// Stalled runs are moved.
     Stall,
