--- a/crates/stackpier-cell/src/evacuation.rs
+++ b/crates/stackpier-cell/src/evacuation.rs
@@ -170,7 +170,7 @@
         u64::from(largest.unwrap_or(u32::MAX))
     }
 
-    /// evacuate_one begins to evacuate the worker with the fewest processors in use by
+    /// evacuate_one begins to evacuate the worker with the fewest processors reserved by
     /// long-running tasks, of those whose tasks all fit elsewhere.
     fn evacuate_one(&mut self) {
         let limit = self.live_workers().count() / WORKERS_PER_EVACUATION;
@@ -195,7 +195,7 @@
             .in_progress
             .push(Evacuation { worker, since: now });
         let text = format!(
-            "worker {} is evacuated for best-effort tasks: {} serving tasks are moved",
+            "worker {} is evacuated for best-effort tasks: {} long-running tasks are moved",
             self.worker(worker).info.id,
             self.long_running_on(worker).len()
         );
