--- a/crates/stackpier-cell/src/cell.rs
+++ b/crates/stackpier-cell/src/cell.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The cell: its arenas, the dispatch of events, and look-ups.
+//! The cell: its state, the dispatch of events, and lookups.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,103 +7,104 @@
 use stackpier_state::job::State;
 
 use crate::{
-    Effect, Event, Mechanism, Note, Now, Options, Queue, TaskName,
+    Effect, Event, LogEntry, Mechanism, Now, Options, Queue, TaskName,
     arena::{JobKey, RunKey, StepKey, TaskKey, WorkerKey},
     cycle::Cycle,
+    evacuation::Evacuations,
     flow::Flow,
     interference::{Images, Model},
+    interner::Interner,
     job::{Job, Step, Task},
-    maintenance::{Record, Work},
-    names::Names,
-    place::{Budget, Counted, Filling},
+    maintenance::{Record, Rollout},
+    place::{BestEffortPass, Budget, GuaranteedPass},
     run::Run,
     save::Saver,
-    short::ShortMemory,
-    spare::Spare,
-    takeover::Tenure,
+    short_task_memory::ShortTaskMemory,
+    takeover::Ownership,
     worker::Worker,
 };
 
-/// SWEEP_MS is the time between two looks at all runs, for those that stand
-/// still, lag, or are on leaving workers.
+/// SWEEP_MS is the interval between checks of all runs for those that stall, lag, or are on
+/// draining workers.
 const SWEEP_MS: u64 = 150;
-/// COUNTED_PART is the part of all ratings, one in so many, that placing tasks that
-/// count may do: most of them find no room before any worker is rated.
-const COUNTED_PART: u32 = 4;
-/// FAILED_ON is how many workers a task remembers to have failed on.
-const FAILED_ON: usize = 3;
+/// GUARANTEED_RATING_DIVISOR sets the share of the rating budget, one in this many, for
+/// guaranteed tasks: most of them are found not to fit before any worker is rated.
+const GUARANTEED_RATING_DIVISOR: u32 = 4;
+/// MAX_FAILED_ON bounds how many of the workers that a task failed on are remembered.
+const MAX_FAILED_ON: usize = 3;
 
-/// Cell is what the owner of a set of workers believes and decides.
+/// Cell holds the owner's view of a set of workers and decides what runs on them.
 pub struct Cell {
     pub(crate) options: Options,
     pub(crate) fence: u64,
     pub(crate) now: Now,
     pub(crate) queues: HashMap<String, Queue>,
-    pub(crate) services: Names,
-    pub(crate) racks: Names,
+    pub(crate) services: Interner,
+    pub(crate) racks: Interner,
     pub(crate) images: Images,
     pub(crate) jobs: Vec<Job>,
     pub(crate) job_keys: HashMap<key::Job, JobKey>,
-    /// Jobs that are cancelled and not known yet.
+    /// Jobs that were cancelled before this owner knew them.
     pub(crate) cancelled: HashSet<key::Job>,
     pub(crate) steps: Vec<Step>,
     pub(crate) tasks: Vec<Task>,
     pub(crate) runs: Arena<Run>,
     pub(crate) workers: Vec<Worker>,
     pub(crate) worker_keys: HashMap<String, WorkerKey>,
-    /// Steps with tasks to place that count in a worker's room.
-    pub(crate) waiting: Vec<StepKey>,
-    /// Steps with tasks to place that fill.
-    pub(crate) filling: Vec<StepKey>,
+    /// Steps with guaranteed tasks to place.
+    pub(crate) guaranteed_queue: Vec<StepKey>,
+    /// Steps with best-effort tasks to place.
+    pub(crate) best_effort_queue: Vec<StepKey>,
     /// Steps of rounds that are not due yet.
-    pub(crate) undue: Vec<StepKey>,
-    /// Whether something changed that lets tasks be placed.
+    pub(crate) not_due: Vec<StepKey>,
+    /// Whether a change may allow tasks to be placed.
     pub(crate) place_wanted: bool,
-    /// The passes over steps whose tasks count.
-    pub(crate) counted: Counted,
-    /// The passes over steps whose tasks fill.
-    pub(crate) fills: Filling,
-    pub(crate) summarised: Millis,
-    /// When all runs were last looked at.
+    /// The placement passes over steps with guaranteed tasks.
+    pub(crate) guaranteed_pass: GuaranteedPass,
+    /// The placement passes over steps with best-effort tasks.
+    pub(crate) best_effort_pass: BestEffortPass,
+    pub(crate) summary_logged_at: Millis,
+    /// When all runs were last checked.
     pub(crate) swept: Millis,
     pub(crate) model: Model,
     pub(crate) cycle: Cycle,
-    /// When what was learnt was last saved.
-    pub(crate) remembered: Millis,
-    /// Plans of operators to take hosts down.
-    pub(crate) maintenance: Vec<Work>,
-    /// How far an earlier owner came with them.
-    pub(crate) maintained: Vec<Record>,
-    /// From when this owner orders hosts down: two owners don't take turns.
-    pub(crate) orders_from: Millis,
-    /// What short tasks ask for.
-    pub(crate) short_memory: ShortMemory,
-    pub(crate) spare: Spare,
+    /// When the learned model was last saved.
+    pub(crate) model_saved_at: Millis,
+    /// Operators' plans to take hosts down.
+    pub(crate) maintenance: Vec<Rollout>,
+    /// The progress of these plans under an earlier owner.
+    pub(crate) inherited_maintenance: Vec<Record>,
+    /// The earliest time at which this owner takes hosts down. After another owner it first
+    /// waits, because two owners do not coordinate.
+    pub(crate) take_downs_from: Millis,
+    /// The memory that short tasks ask for.
+    pub(crate) short_task_memory: ShortTaskMemory,
+    pub(crate) evacuations: Evacuations,
     /// Tasks that may crash the workers that start them.
     pub(crate) suspects: Vec<TaskKey>,
-    /// When workers were last asked for the next starts of suspects.
-    pub(crate) asked_for_suspects: Millis,
+    /// When workers were last polled for the next starts of suspects.
+    pub(crate) polled_for_suspects: Millis,
     pub(crate) saver: Saver,
-    pub(crate) tenure: Tenure,
-    /// The starts that are on their way.
+    pub(crate) ownership: Ownership,
+    /// The starts that are not answered yet.
     pub(crate) flow: Flow,
     pub(crate) effects: Vec<Effect>,
 }
 
 impl Cell {
-    /// new starts the ownership of a cell under `fence`, without jobs or
-    /// workers. `predecessor` tells whether an earlier owner may still act.
+    /// new starts the ownership of a cell under `fence`, without jobs or workers. `predecessor`
+    /// tells whether an earlier owner may still act.
     pub fn new(options: Options, fence: u64, now: Now, predecessor: bool) -> Cell {
         let acting = if predecessor { options.authority_ms } else { 0 };
         let inherited_until = Cell::inherited_until(&options, now.mono, acting);
-        let counted_ratings = options.ratings_per_ms / COUNTED_PART;
+        let guaranteed_ratings = options.ratings_per_ms / GUARANTEED_RATING_DIVISOR;
         Cell {
             options,
             fence,
             now,
             queues: HashMap::new(),
-            services: Names::default(),
-            racks: Names::default(),
+            services: Interner::default(),
+            racks: Interner::default(),
             images: Images::default(),
             jobs: Vec::new(),
             job_keys: HashMap::new(),
@@ -113,41 +114,41 @@
             runs: Arena::default(),
             workers: Vec::new(),
             worker_keys: HashMap::new(),
-            waiting: Vec::new(),
-            filling: Vec::new(),
-            undue: Vec::new(),
+            guaranteed_queue: Vec::new(),
+            best_effort_queue: Vec::new(),
+            not_due: Vec::new(),
             place_wanted: false,
-            counted: Counted::new(Budget::new(counted_ratings, now.mono)),
-            fills: Filling::new(Budget::new(
-                options.ratings_per_ms - counted_ratings,
+            guaranteed_pass: GuaranteedPass::new(Budget::new(guaranteed_ratings, now.mono)),
+            best_effort_pass: BestEffortPass::new(Budget::new(
+                options.ratings_per_ms - guaranteed_ratings,
                 now.mono,
             )),
-            summarised: now.mono,
+            summary_logged_at: now.mono,
             swept: now.mono,
             model: Model::default(),
             cycle: Cycle::default(),
-            remembered: now.mono,
+            model_saved_at: now.mono,
             maintenance: Vec::new(),
-            maintained: Vec::new(),
-            orders_from: Cell::orders_from(&options, now.mono, fence),
-            short_memory: ShortMemory::default(),
-            spare: Spare::default(),
+            inherited_maintenance: Vec::new(),
+            take_downs_from: Cell::take_downs_from(&options, now.mono, fence),
+            short_task_memory: ShortTaskMemory::default(),
+            evacuations: Evacuations::default(),
             suspects: Vec::new(),
-            asked_for_suspects: Millis(0),
+            polled_for_suspects: Millis(0),
             saver: Saver::default(),
-            tenure: Tenure::new(now.mono, inherited_until),
+            ownership: Ownership::new(now.mono, inherited_until),
             flow: Flow::new(&options),
             effects: Vec::new(),
         }
     }
 
-    /// step takes one event and returns what is to be done.
+    /// step handles one event and returns the effects to carry out.
     pub fn step(&mut self, now: Now, event: Event) -> Vec<Effect> {
         self.now = now;
         match event {
-            Event::Queues(queues) => self.take_queues(queues),
-            Event::Listed(info) => self.list(info),
-            Event::Unlisted(id) => self.unlist(&id),
+            Event::Queues(queues) => self.apply_queues(queues),
+            Event::Listed(info) => self.apply_entry(info),
+            Event::Unlisted(id) => self.mark_unlisted(&id),
             Event::Unreadable(id) => self.mark_unreadable(&id),
             Event::Accepted {
                 job,
@@ -156,28 +157,28 @@
                 cancelled,
             } => self.accept(job, &record, progress.as_deref(), cancelled),
             Event::Cancelled(job) => self.cancel(job),
-            Event::Started { run, outcome } => self.started(run, outcome),
-            Event::Stopped { run, outcome } => self.stopped(run, outcome),
+            Event::Started { run, outcome } => self.handle_start_answer(run, outcome),
+            Event::Stopped { run, outcome } => self.handle_stop_answer(run, outcome),
             Event::Paced {
                 run,
                 percent,
                 taken,
-            } => self.paced(run, percent, taken),
-            Event::Held {
+            } => self.handle_pace_answer(run, percent, taken),
+            Event::Renewed {
                 worker,
                 sent,
                 outcome,
-            } => self.held(worker, sent, outcome),
-            Event::Advised(step, answer) => self.advised(step, answer),
-            Event::Plan(plan) => self.plan(plan),
-            Event::TakenDown(order, outcome) => self.taken_down(&order, outcome),
-            Event::Saved(done) => self.saved(done),
-            Event::EarlierAsked(unsaved) => self.earlier_asked(&unsaved),
-            Event::HandedOver(unsaved) => self.take_handover(&unsaved),
-            Event::Confirmed(sent) => self.confirm(sent),
+            } => self.handle_renewal_answer(worker, sent, outcome),
+            Event::Advised(step, answer) => self.handle_advice(step, answer),
+            Event::Plan(plan) => self.add_plan(plan),
+            Event::TakenDown(order, outcome) => self.handle_take_down_answer(&order, outcome),
+            Event::Saved(done) => self.handle_save_answer(done),
+            Event::PredecessorAnswered(unsaved) => self.handle_predecessor_answer(&unsaved),
+            Event::HandedOver(unsaved) => self.apply_handover(&unsaved),
+            Event::Confirmed(sent) => self.apply_confirmation(sent),
             Event::Tick => self.tick(),
         }
-        if self.tenure.deposed {
+        if self.ownership.deposed {
             return vec![Effect::Deposed];
         }
         self.place();
@@ -185,37 +186,37 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// state returns the state of a job that client accounts are shown, or `None` if it is
+    /// state returns the state of a job that client accounts are shown, or `None` if the job is
     /// not known.
     pub fn state(&self, job: key::Job) -> Option<State> {
         let job = self.job(*self.job_keys.get(&job)?);
-        (!job.forgotten).then_some(job.shown())
+        (!job.forgotten).then_some(job.visible_state())
     }
 
-    /// waiting returns how many jobs of a queue have not begun.
+    /// waiting returns how many jobs of a queue have not started.
     pub fn waiting(&self, queue: &str) -> u64 {
         let waits = |job: &&Job| job.state == State::Pending && job.queue == queue;
         self.jobs.iter().filter(waits).count() as u64
     }
 
-    /// has tells whether a mechanism is switched on.
-    pub(crate) fn has(&self, mechanism: Mechanism) -> bool {
+    /// is_enabled reports whether a mechanism is switched on.
+    pub(crate) fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.options.without.contains(mechanism)
     }
 
-    /// fence returns the fence of this ownership.
+    /// fence returns the fencing token of this ownership.
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// running returns how many runs hold room on workers.
+    /// running returns how many runs hold capacity on workers.
     pub fn running(&self) -> usize {
         self.runs.values().count()
     }
 
-    /// workers returns how many workers are not known to be over.
+    /// workers returns how many workers are not known to be gone.
     pub fn workers(&self) -> usize {
-        self.live().count()
+        self.live_workers().count()
     }
 
     /// ready returns how many tasks wait to be placed.
@@ -224,16 +225,22 @@
         steps.map(|step| self.step_of(step).ready.len()).sum()
     }
 
-    /// ratings returns how many ratings placing has done so far, for measurements.
+    /// ratings returns how many times a worker was rated for a task so far, for measurements.
     pub fn ratings(&self) -> u64 {
-        self.counted.budget.done() + self.fills.budget.done()
+        self.guaranteed_pass.budget.done() + self.best_effort_pass.budget.done()
     }
 
     /// queued returns the steps with tasks to place.
     pub(crate) fn queued(&self) -> impl Iterator<Item = StepKey> + '_ {
-        let counted = self.waiting.iter().chain(self.counted.steps());
-        let fill = self.filling.iter().chain(self.fills.steps());
-        counted.chain(fill).copied()
+        let guaranteed = self
+            .guaranteed_queue
+            .iter()
+            .chain(self.guaranteed_pass.steps());
+        let best_effort = self
+            .best_effort_queue
+            .iter()
+            .chain(self.best_effort_pass.steps());
+        guaranteed.chain(best_effort).copied()
     }
 
     pub(crate) fn job(&self, key: JobKey) -> &Job {
@@ -273,8 +280,8 @@
         self.job(self.step_of(self.task(task).step).job)
     }
 
-    /// shape returns the description of a step as it was handed in.
-    pub(crate) fn shape(&self, step: StepKey) -> &stackpier_state::job::Step {
+    /// step_spec returns the description of a step as it was submitted.
+    pub(crate) fn step_spec(&self, step: StepKey) -> &stackpier_state::job::Step {
         let step = self.step_of(step);
         &self.job(step.job).spec.steps[usize::from(step.number)]
     }
@@ -291,7 +298,7 @@
         }
     }
 
-    /// find returns the task of a name, if its job is known.
+    /// find returns the task with a name, if its job is known.
     pub(crate) fn find(&self, name: TaskName) -> Option<TaskKey> {
         let job = self.job(*self.job_keys.get(&name.job)?);
         let steps = job.spec.steps.len() as u32;
@@ -303,48 +310,48 @@
         (name.index < step.count).then_some(TaskKey(step.first_task.0 + name.index))
     }
 
-    pub(crate) fn note(&mut self, part: &'static str, subject: Option<TaskName>, text: String) {
-        self.effects.push(Effect::Note(Note {
+    pub(crate) fn log(&mut self, part: &'static str, subject: Option<TaskName>, text: String) {
+        self.effects.push(Effect::Log(LogEntry {
             part,
             subject,
             text,
         }));
     }
 
-    /// take_queues takes in the queues as they are configured now.
-    fn take_queues(&mut self, queues: Vec<Queue>) {
+    /// apply_queues records the queues as they are configured now.
+    fn apply_queues(&mut self, queues: Vec<Queue>) {
         for queue in queues {
             self.queues.insert(queue.name.clone(), queue);
         }
         self.place_wanted = true;
     }
 
-    /// drop_run forgets a run that is over and frees its room.
+    /// drop_run removes a run that has ended and frees its capacity.
     pub(crate) fn drop_run(&mut self, key: RunKey) -> Option<Run> {
         let run = self.runs.remove(key)?;
         self.worker_mut(run.worker).remove(key, &run);
         let now = self.now.mono;
         let task = self.task_mut(run.task);
         task.runs.retain(|other| *other != key);
-        // A run that never began does not count as one.
+        // A run that never started doesn't change when the task's last run ended.
         if run.confirmed.is_some() {
             task.ended = Some(now);
         }
         let step = self.step_mut(run.step);
         step.runs -= 1;
-        // A run that never began leaves the step waiting for as long as it has.
+        // A run that never started doesn't restart the step's waiting time.
         if run.confirmed.is_some() {
             step.idle_since = now;
         }
         self.place_wanted = true;
         if run.is_recorded() {
-            self.dirty(self.step_of(run.step).job);
+            self.mark_dirty(self.step_of(run.step).job);
         }
         Some(run)
     }
 
-    /// requeue drops a run that ended without doing its work and makes its
-    /// task ready again, to go on from what it had saved.
+    /// requeue drops a run that ended without finishing its work and makes its task ready
+    /// again, to resume from the run's last checkpoint.
     pub(crate) fn requeue(&mut self, key: RunKey) {
         let Some(run) = self.drop_run(key) else {
             return;
@@ -355,19 +362,19 @@
         self.make_ready(run.task);
     }
 
-    /// keep_checkpoint keeps the progress that a task has saved; that of one
-    /// member serves for its gang.
+    /// keep_checkpoint stores the progress that a task has saved. The checkpoint of one gang
+    /// member applies to the whole gang.
     pub(crate) fn keep_checkpoint(&mut self, task: TaskKey, checkpoint: &str) {
         for member in self.members(task) {
             self.task_mut(member).checkpoint = Some(checkpoint.to_owned());
         }
-        self.dirty(self.step_of(self.task(task).step).job);
+        self.mark_dirty(self.step_of(self.task(task).step).job);
     }
 
-    /// fail_on remembers that a task failed on a worker.
-    pub(crate) fn fail_on(&mut self, task: TaskKey, worker: WorkerKey) {
+    /// record_failure_on remembers that a task failed on a worker.
+    pub(crate) fn record_failure_on(&mut self, task: TaskKey, worker: WorkerKey) {
         let places = &mut self.task_mut(task).failed_on;
-        if places.len() == FAILED_ON {
+        if places.len() == MAX_FAILED_ON {
             places.remove(0);
         }
         places.push(worker);
@@ -385,14 +392,14 @@
             self.check_drains();
             self.check_maintenance();
             self.check_copies();
-            self.check_spared();
-            self.check_dedicated();
+            self.update_evacuations();
+            self.update_dedicated_workers();
             self.check_rotation();
-            self.check_claims();
+            self.update_reservations();
             self.forget_jobs();
-            self.forget_unseen();
+            self.prune_presumed_ended();
         }
-        self.summarise();
+        self.log_summary();
         let waits = self.queued().next().is_some();
         self.place_wanted |= waits;
     }
--- a/crates/stackpier-cell/src/crash/held.rs
+++ b/crates/stackpier-cell/src/crash/deferred.rs
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Starts that are held back until the store has them.
+//! Starts that are deferred until the store has recorded them.
 //!
-//! They wait for one save, mostly less than 50 ms. If it fails they are sent all the same, and
-//! later ones do not wait until a save was done again: tasks start while the store is away.
+//! Each waits for one save, usually less than 50 ms. If the save fails, the starts are sent anyway,
+//! and later ones do not wait until a save has succeeded again: tasks must be able to start while
+//! the store is unavailable.
 
 use crate::{
     Cell,
@@ -11,39 +12,39 @@
 };
 
 impl Cell {
-    /// is_sent tells whether the start of a run waits for no save.
+    /// is_sent reports whether the start of a run no longer waits for a save.
     pub(crate) fn is_sent(&self, key: RunKey) -> bool {
         let run = self.runs.get(key);
         run.is_some_and(|run| run.after_save.is_none())
     }
 
-    /// send_held sends the starts whose save was made.
-    pub(crate) fn send_held(&mut self) {
-        for key in std::mem::take(&mut self.saver.held) {
+    /// send_deferred sends the starts whose save has been attempted.
+    pub(crate) fn send_deferred(&mut self) {
+        for key in std::mem::take(&mut self.saver.deferred) {
             let save = self.runs.get(key).and_then(|run| run.after_save);
             match save {
-                Some(save) if !self.saver.has_tried(save) => self.saver.held.push(key),
+                Some(save) if !self.saver.has_attempted(save) => self.saver.deferred.push(key),
                 Some(_) => self.send_or_requeue(key),
-                None => self.flow.answered(key),
+                None => self.flow.record_answered(key),
             }
         }
     }
 
-    /// send_or_requeue sends a start that was held back, unless its worker may not take it
-    /// any more.
+    /// send_or_requeue sends a deferred start, or requeues it if its worker must not run it any
+    /// more.
     fn send_or_requeue(&mut self, key: RunKey) {
         let now = self.now.mono;
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
         if run.phase != Phase::Starting {
-            // It is being stopped, and its worker never had it.
-            self.flow.answered(key);
+            // The run is being stopped, and its start was never sent.
+            self.flow.record_answered(key);
             return;
         }
         run.after_save = None;
         run.since = now;
-        run.moved = now;
+        run.progressed_at = now;
         let (task, worker) = (run.task, run.worker);
         let lease_ms = self.options.lease_ms;
         if self.may_still_take(worker, key)
@@ -52,16 +53,16 @@
         {
             self.begin_isolation(key, task, worker);
             self.send_start(key, deadline_ms);
-            self.hold_soon(worker);
+            self.renew_with_wait(worker);
         } else {
-            self.flow.answered(key);
+            self.flow.record_answered(key);
             self.requeue(key);
         }
     }
 
-    /// may_still_start tells whether no later owner can have noted the end of a task some time
-    /// ago: the save may have taken longer than the signs of that hold for which the start was
-    /// decided on.
+    /// may_still_start reports whether a task may still start after the save. The save may have
+    /// outlasted the confirmations on which the decision to start relied, and a later owner may
+    /// have acknowledged the end of the task in the meantime.
     fn may_still_start(&self, key: RunKey, task: TaskKey) -> bool {
         let others = self.task(task).runs.iter().filter(|other| **other != key);
         let mut others = others.filter_map(|other| self.runs.get(*other));
@@ -69,15 +70,15 @@
         !self.may_have_ended(task) && self.may_start(job) && others.all(|run| self.is_current(run))
     }
 
-    /// may_still_take tells whether a worker may take the run that it was chosen for: it
-    /// answers and stays, and nothing of another step was started there in isolation.
+    /// may_still_take reports whether a worker may still take the run that it was chosen for: it
+    /// answers, is not leaving, and has no isolated start of another step.
     fn may_still_take(&self, key: WorkerKey, run: RunKey) -> bool {
         let worker = self.worker(key);
         let step = |run: RunKey| self.runs.get(run).map(|run| run.step);
         // Members of a gang are isolated together.
         let isolated = worker.isolation.map(|isolation| isolation.run);
         let own = isolated.is_some_and(|isolated| step(isolated) == step(run));
-        let quiet = own || worker.is_quiet(self.now.mono);
-        quiet && self.is_open(worker) && self.has_authority()
+        let quiet = own || worker.allows_other_starts(self.now.mono);
+        quiet && self.is_available(worker) && self.has_authority()
     }
 }
--- a/crates/stackpier-cell/src/explain.rs
+++ b/crates/stackpier-cell/src/explain.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Why the tasks of a job are where they are, or still wait.
+//! Explains where the tasks of a job run, or why they wait.
 
 use std::collections::HashMap;
 
@@ -10,26 +10,26 @@
     Cell,
     arena::{RunKey, StepKey, TaskKey},
     run,
-    worker::Life,
+    worker::Presence,
 };
 
-/// MOST_TASKS is how many tasks of a job are explained at a time: more than an
+/// MAX_TASKS is how many tasks of a job are explained at a time: more than an
 /// operator reads.
-pub const MOST_TASKS: usize = 100;
-/// MOST_STEPS is for how many waiting steps of a job all workers are looked at,
-/// so that an explanation costs no more than placing as many tasks.
-const MOST_STEPS: usize = 20;
+pub const MAX_TASKS: usize = 100;
+/// MAX_STEPS is for how many waiting steps of a job all workers are rated, so that
+/// an explanation costs no more than placing as many tasks.
+const MAX_STEPS: usize = 20;
 
-/// Causes keeps what was found for each step: its tasks are alike.
+/// Causes holds the cause found for each step: its tasks are alike.
 type Causes = HashMap<StepKey, Cause>;
 
 impl Cell {
-    /// explain tells of a job's tasks that are not done, up to a bound, where
-    /// they run or what keeps them from starting. A job that is running with nothing open
-    /// waits for the store.
+    /// explain returns where the unfinished tasks of a job run or what keeps them
+    /// from starting, for up to [`MAX_TASKS`] tasks. A running job without
+    /// unfinished tasks waits for the store.
     pub fn explain(&mut self, job: key::Job) -> Option<Job> {
         let job = self.job(*self.job_keys.get(&job)?);
-        let state = job.shown();
+        let state = job.visible_state();
         let keys = (job.first_task.0..job.first_task.0 + job.tasks).map(TaskKey);
         let mut causes = Causes::new();
         let mut tasks = Vec::new();
@@ -39,7 +39,7 @@
                 continue;
             }
             open += 1;
-            if tasks.len() < MOST_TASKS {
+            if tasks.len() < MAX_TASKS {
                 tasks.extend(self.explain_task(key, &mut causes));
             }
         }
@@ -51,8 +51,8 @@
         })
     }
 
-    /// explain_task returns nothing for a task that waits once enough steps were
-    /// looked at.
+    /// explain_task returns the standing of a task, or `None` if it waits and the
+    /// causes of `MAX_STEPS` other steps have been found already.
     fn explain_task(&mut self, key: TaskKey, causes: &mut Causes) -> Option<Task> {
         let standing = match self.standing(key) {
             Some(standing) => standing,
@@ -64,7 +64,8 @@
         })
     }
 
-    /// standing returns where a task stands that does not wait for a worker.
+    /// standing returns the standing of a task, or `None` if it waits for a
+    /// worker.
     fn standing(&self, key: TaskKey) -> Option<Standing> {
         let task = self.task(key);
         let step = self.step_of(task.step);
@@ -93,7 +94,7 @@
     fn explain_wait(&mut self, key: TaskKey, causes: &mut Causes) -> Option<Wait> {
         let step = self.task(key).step;
         if !causes.contains_key(&step) {
-            if causes.len() == MOST_STEPS {
+            if causes.len() == MAX_STEPS {
                 return None;
             }
             let cause = self.obstacles(step);
@@ -102,7 +103,7 @@
         Some(Wait {
             queued: self.step_of(step).queued,
             failed_runs: self.task(key).failed_runs.len() as u32,
-            crashes: self.crashes_of(key),
+            crashes: self.count_crashes(key),
             cause: causes.get(&step)?.clone(),
         })
     }
@@ -118,7 +119,7 @@
             percent: run.percent,
             pace: run.pace,
             silent_ms: worker.silent_since.map(silent),
-            met: worker.life != Life::New,
+            met: worker.presence != Presence::New,
         })
     }
 }
--- a/crates/stackpier-cell/src/lateness.rs
+++ b/crates/stackpier-cell/src/lateness.rs
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
-//! How large a job is and how late it is, in the log: without its size, a bias against large
-//! jobs looks like a few late ones.
+//! Logs how late a job is together with its size: without the size, a bias against large jobs
+//! looks like a few late ones.
 
 use std::fmt;
 
-use stackpier_state::job::{Spec, Step as Shape};
+use stackpier_state::job::{Spec, Step as StepSpec};
 
 use crate::{
     Cell,
     arena::{JobKey, StepKey},
     lifecycle::first_task,
-    place::Turn,
+    place::Rank,
 };
 
 /// MILLI is the number of thousandths in a core and of milliseconds in a second.
 const MILLI: u64 = 1_000;
 
-/// Extent is what all tasks of a job ask for.
+/// Extent is the size of a job: what all its tasks ask for.
 struct Extent {
     tasks: u32,
     /// The processors that the largest task asks for, in thousandths of a core.
@@ -28,14 +28,14 @@
 impl Extent {
     fn of(spec: &Spec) -> Extent {
         let largest = spec.steps.iter().map(|step| step.size.milli_cores).max();
-        let milli = |step: &Shape| {
+        let work = |step: &StepSpec| {
             let each = u64::from(step.size.milli_cores) * u64::from(step.estimate_ms);
             each * u64::from(step.count)
         };
         Extent {
             tasks: spec.width() * spec.rounds(),
             largest_milli: largest.unwrap_or(0),
-            core_seconds: spec.steps.iter().map(milli).sum::<u64>() / (MILLI * MILLI),
+            core_seconds: spec.steps.iter().map(work).sum::<u64>() / (MILLI * MILLI),
         }
     }
 }
@@ -55,8 +55,9 @@
 }
 
 impl Cell {
-    /// describe_end says how late a job is now, and how large it is.
-    pub(crate) fn describe_end(&self, key: JobKey) -> String {
+    /// describe_lateness returns how long before or after its deadline a job is now, and how
+    /// large it is.
+    pub(crate) fn describe_lateness(&self, key: JobKey) -> String {
         let job = self.job(key);
         let extent = Extent::of(&job.spec);
         let late_ms = self.now.mono.since(job.objective);
@@ -67,26 +68,26 @@
         }
     }
 
-    /// note_useless tells once of each job that waits though it can't be of use any more.
-    pub(crate) fn note_useless(&mut self) {
-        let useless = |step: &StepKey| {
+    /// log_expired logs each waiting job that has expired, once.
+    pub(crate) fn log_expired(&mut self) {
+        let newly_expired = |step: &StepKey| {
             let job = self.job(self.step_of(*step).job);
-            let hopeless = matches!(self.turn_of(*step), Turn::Hopeless(_));
-            hopeless && !job.noted_useless && !self.shape(*step).lasting
+            let expired = matches!(self.rank_of(*step), Rank::Expired(_));
+            expired && !job.expiry_logged && !self.step_spec(*step).long_running
         };
-        let steps: Vec<StepKey> = self.queued().filter(useless).collect();
+        let steps: Vec<StepKey> = self.queued().filter(newly_expired).collect();
         for step in steps {
             let key = self.step_of(step).job;
-            if std::mem::replace(&mut self.job_mut(key).noted_useless, true) {
+            if std::mem::replace(&mut self.job_mut(key).expiry_logged, true) {
                 continue;
             }
             let job = self.job(key);
             let (id, left) = (job.id, job.left);
             let text = format!(
-                "job is too late to be of use, {left} tasks left, {}",
-                self.describe_end(key)
+                "job has expired, {left} tasks left, {}",
+                self.describe_lateness(key)
             );
-            self.note("job", Some(first_task(id)), text);
+            self.log("job", Some(first_task(id)), text);
         }
     }
 }
--- a/crates/stackpier-cell/src/order.rs
+++ b/crates/stackpier-cell/src/order.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Starts and stops, and what their answers prove.
+//! Orders to start and stop runs, and how the answers to them are handled.
 
 use stackpier_core::Millis;
 
@@ -7,18 +7,19 @@
     Cell, Effect, Order, Start, Started, Stop, Stopped,
     arena::{RunKey, TaskKey, WorkerKey},
     run::{Phase, Run},
-    worker::Life,
+    worker::Presence,
 };
 
-/// INVALID_PAUSE_MS is the pause before a start that a worker called invalid
-/// is tried again elsewhere.
+/// INVALID_PAUSE_MS is how long a task waits for another attempt on a different worker after a
+/// worker called its start invalid.
 const INVALID_PAUSE_MS: u64 = 1_000;
-/// FULL_MS is the pause before a worker that said it had no room is asked
-/// again: about the time in which a report tells what fills it.
-const FULL_MS: u64 = 250;
+/// FULL_PAUSE_MS is the pause in starts on a worker that refused one for lack of capacity.
+/// Within about this time a report shows what runs there.
+const FULL_PAUSE_MS: u64 = 250;
 
 impl Cell {
-    /// start gives a task to a worker.
+    /// start creates a run of a task on a worker and sends the start. If the start must be
+    /// saved first, it is deferred until then.
     pub(crate) fn start(&mut self, task: TaskKey, worker: WorkerKey) {
         let now = self.now.mono;
         let lease = self.options.lease_ms;
@@ -28,30 +29,30 @@
         let run = self.new_run(task, worker);
         let number = run.number;
         let key = self.insert_run(run);
-        self.use_claim(worker, task);
+        self.consume_reservation(worker, task);
         self.begin_isolation(key, task, worker);
         self.record_start(key, task);
         let entry = self.task_mut(task);
         entry.runs.push(key);
         entry.next_run = number + 1;
-        self.flow.send(key, self.job_of(task).payload.len());
+        self.flow.record_sent(key, self.job_of(task).payload.len());
         if self.is_sent(key) {
             self.send_start(key, deadline_ms);
         } else {
-            self.saver.held.push(key);
+            self.saver.deferred.push(key);
         }
-        if self.worker(worker).lasting_milli > 0 {
-            self.look_ahead_on(worker);
+        if self.worker(worker).long_running_milli > 0 {
+            self.update_predictions(worker);
         }
-        self.hold_soon(worker);
+        self.renew_with_wait(worker);
     }
 
-    /// send_start tells a worker to start a run.
+    /// send_start sends the order to start a run.
     pub(crate) fn send_start(&mut self, key: RunKey, deadline_ms: u64) {
-        let run = self.runs.get(key).expect("the run is there");
+        let run = self.runs.get(key).expect("the run exists");
         let (task, worker) = (run.task, run.worker);
         let start = Start {
-            order: self.order(key),
+            order: self.order_for(key),
             data_centre: self.worker(worker).info.data_centre.clone(),
             payload: self.job_of(task).payload.clone(),
             deadline_ms,
@@ -72,74 +73,75 @@
 
     fn new_run(&self, task: TaskKey, worker: WorkerKey) -> Run {
         let step = self.task(task).step;
-        let shape = self.shape(step);
+        let spec = self.step_spec(step);
         Run {
             task,
             step,
             worker,
             number: self.task(task).next_run,
             phase: Phase::Starting,
-            size: shape.size,
-            fills: shape.fills,
-            lasting: shape.lasting,
-            serving: shape.lasting && shape.target_ms > 0,
+            size: spec.size,
+            best_effort: spec.best_effort,
+            long_running: spec.long_running,
+            serving: spec.long_running && spec.target_ms > 0,
             image: self.step_of(step).image,
             since: self.now.mono,
             confirmed: None,
-            shown: false,
-            proved: false,
+            reported: false,
+            cleared: false,
             recorded: false,
             after_save: None,
-            stop_taken: None,
+            stop_accepted: None,
             stop_sent: false,
             stop_after: Millis(0),
             saved: String::new(),
             percent: 0,
-            moved: self.now.mono,
+            progressed_at: self.now.mono,
             used_milli: None,
             load: None,
             measured: None,
             deviation: 0.0,
             over_since: None,
-            calm_since: None,
+            recovered_since: None,
             pace: 100,
             pace_unknown: false,
-            pace_missed: false,
-            paced: Millis(0),
+            pace_unconfirmed: false,
+            paced_at: Millis(0),
             slowed_since: None,
         }
     }
 
-    /// adopt takes in a run that an earlier owner started.
+    /// adopt adds a run that a predecessor started.
     pub(crate) fn adopt(&mut self, task: TaskKey, worker: WorkerKey, number: u32) -> RunKey {
         let mut run = self.new_run(task, worker);
         run.number = number;
         run.phase = Phase::Running;
         run.confirmed = Some(self.now.mono);
-        run.pace_unknown = run.fills;
+        run.pace_unknown = run.best_effort;
         let key = self.insert_run(run);
         let entry = self.task_mut(task);
         entry.runs.push(key);
         entry.next_run = entry.next_run.max(number + 1);
-        self.begin(task);
+        self.mark_running(task);
         key
     }
 
-    /// order names a run for a call to its worker.
-    pub(crate) fn order(&self, key: RunKey) -> Order {
-        let run = self.runs.get(key).expect("the run is there");
+    /// order_for returns what identifies a run in a call to its worker.
+    pub(crate) fn order_for(&self, key: RunKey) -> Order {
+        let run = self.runs.get(key).expect("the run exists");
         let worker = self.worker(run.worker);
         Order {
             key,
             address: worker.info.address.clone(),
-            life: worker.info.id.clone(),
+            worker_id: worker.info.id.clone(),
             task: self.name(run.task),
             run: run.number,
             fence: self.fence,
         }
     }
 
-    /// stop orders a run to end, until the worker has taken the order.
+    /// stop marks a run as stopping, and sends the order unless it is on its way, has been
+    /// accepted, or waits for its retry. It is called again until the run has ended.
     pub(crate) fn stop(&mut self, key: RunKey) {
         let now = self.now.mono;
         let authority = self.has_authority();
@@ -147,18 +149,19 @@
             return;
         };
         run.phase = Phase::Stopping;
-        let dead = self.workers[run.worker.0 as usize].life == Life::Over;
-        let told = run.stop_sent || run.stop_taken.is_some() || now < run.stop_after;
-        if dead || told || !authority {
+        let is_gone = self.workers[run.worker.0 as usize].presence == Presence::Gone;
+        let is_pending = run.stop_sent || run.stop_accepted.is_some() || now < run.stop_after;
+        if is_gone || is_pending || !authority {
             return;
         }
         run.stop_sent = true;
-        let order = self.order(key);
+        let order = self.order_for(key);
         self.effects.push(Effect::Stop(Stop { order }));
     }
 
-    pub(crate) fn started(&mut self, key: RunKey, outcome: Started) {
-        self.flow.answered(key);
+    /// handle_start_answer applies a worker's answer to a start, or the lack of one.
+    pub(crate) fn handle_start_answer(&mut self, key: RunKey, outcome: Started) {
+        self.flow.record_answered(key);
         let now = self.now.mono;
         let Some(run) = self.runs.get_mut(key) else {
             return;
@@ -168,34 +171,34 @@
             Started::Yes => {
                 if run.confirmed.is_none() {
                     run.confirmed = Some(now);
-                    run.moved = now;
+                    run.progressed_at = now;
                 }
                 if matches!(run.phase, Phase::Starting | Phase::Unsure(_)) {
                     run.phase = Phase::Running;
                 }
-                self.begin(task);
+                self.mark_running(task);
             }
             Started::Silent => {
                 if run.phase == Phase::Starting {
                     run.phase = Phase::Unsure(now);
                 }
-                self.note_unanswered(key);
-                self.hold_now(worker);
+                self.record_unanswered(key);
+                self.renew_now(worker);
             }
             Started::Fenced => self.depose(),
             Started::OtherLife => {
-                // The process that was meant has never seen this start.
+                // The incarnation that the start was sent to never received it.
                 self.drop_run(key);
                 self.make_ready(task);
-                self.end_life(worker, "its address answers for another life");
+                self.end_incarnation(worker, "its address answers for another incarnation");
             }
-            refused => self.refused(key, refused),
+            refused => self.handle_refusal(key, refused),
         }
     }
 
-    /// refused requeues a task whose start the worker refused: the run is not
-    /// there, and a later arrival of the same order would be refused as well.
-    fn refused(&mut self, key: RunKey, outcome: Started) {
+    /// handle_refusal requeues a task whose start the worker refused: the run does not exist,
+    /// and a duplicate of the order that arrives later would be refused too.
+    fn handle_refusal(&mut self, key: RunKey, outcome: Started) {
         let now = self.now.mono;
         let Some(run) = self.runs.get(key) else {
             return;
@@ -205,21 +208,22 @@
             "worker {} refused a start: {outcome:?}",
             self.worker(worker).info.id
         );
-        self.note("order", Some(self.name(task)), text);
+        self.log("order", Some(self.name(task)), text);
         match outcome {
-            Started::NoRoom => self.worker_mut(worker).full_until = now.plus(FULL_MS),
-            Started::Unhealthy => self.worker_mut(worker).health.refuse(now),
+            Started::NoRoom => self.worker_mut(worker).full_until = now.plus(FULL_PAUSE_MS),
+            Started::Unhealthy => self.worker_mut(worker).health.record_refusal(now),
             Started::Invalid => {
                 self.task_mut(task).not_before = now.plus(INVALID_PAUSE_MS);
-                self.fail_on(task, worker);
+                self.record_failure_on(task, worker);
             }
             _ => {}
         }
-        self.hold_now(worker);
+        self.renew_now(worker);
         self.requeue(key);
     }
 
-    pub(crate) fn stopped(&mut self, key: RunKey, outcome: Stopped) {
+    /// handle_stop_answer applies a worker's answer to a stop, or the lack of one.
+    pub(crate) fn handle_stop_answer(&mut self, key: RunKey, outcome: Stopped) {
         let now = self.now.mono;
         let retry = self.options.stop_retry_ms;
         let Some(run) = self.runs.get_mut(key) else {
@@ -229,12 +233,14 @@
         let worker = run.worker;
         match outcome {
             Stopped::Yes => {
-                run.stop_taken = Some(now);
-                self.hold_now(worker);
+                run.stop_accepted = Some(now);
+                self.renew_now(worker);
             }
             Stopped::Silent => run.stop_after = now.plus(retry),
             Stopped::Fenced => self.depose(),
-            Stopped::OtherLife => self.end_life(worker, "its address answers for another life"),
+            Stopped::OtherLife => {
+                self.end_incarnation(worker, "its address answers for another incarnation")
+            }
         }
     }
 }
--- a/crates/stackpier-cell/src/report.rs
+++ b/crates/stackpier-cell/src/report.rs
@@ -1,130 +1,131 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Taking in a worker's report: what runs there, what ended, and what it does not show.
+//! Handling of a worker's report: the runs it shows, the ends it lists, and the runs missing
+//! from it.
 
 use stackpier_core::Millis;
 
 use crate::{
-    Cell, Report, Row, TaskName,
+    Cell, Report, RunStatus, TaskName,
     arena::{RunKey, TaskKey, WorkerKey},
     run::{Phase, Run},
-    worker::{Clock, Life},
+    worker::{Clock, Presence},
 };
 
-/// PERCENT_DONE is the percent of a lasting task that is at work.
-const PERCENT_DONE: u8 = 100;
+/// PERCENT_WORKING is the progress that a long-running task reports while it works.
+const PERCENT_WORKING: u8 = 100;
 
 impl Cell {
-    /// take_report takes in a report that was asked for at `sent`.
-    pub(crate) fn take_report(&mut self, key: WorkerKey, sent: Millis, report: Report) {
-        if !self.take_life(key, sent, &report) {
+    /// apply_report applies a report that was requested at `sent`.
+    pub(crate) fn apply_report(&mut self, key: WorkerKey, sent: Millis, report: Report) {
+        if !self.match_incarnation(key, sent, &report) {
             return;
         }
-        self.hear(key, sent, report.clock_ms);
-        self.take_ends(key, sent, report.ended);
-        let again = self.inherit(key, sent, report.whole);
-        for row in &report.running {
-            self.take_row(key, sent, row);
+        self.record_contact(key, sent, report.clock_ms);
+        self.apply_ends(key, sent, report.ended);
+        let report_needed = self.update_inheritance(key, sent, report.whole);
+        for status in &report.running {
+            self.apply_run_status(key, sent, status);
         }
         if report.whole {
-            self.miss_runs(key, sent, &report.running);
+            self.handle_missing_runs(key, sent, &report.running);
         }
-        self.meet(key);
-        // They start where an answer has just come from.
-        self.place_wanted |= self.suspects_wait();
-        self.learn(key);
-        self.set_paces(key);
-        if again || self.worker(key).announced.is_some() {
-            self.hold_now(key);
+        self.mark_contacted(key);
+        // Suspects start on workers that have just answered.
+        self.place_wanted |= self.has_waiting_suspects();
+        self.learn_from_report(key);
+        self.adjust_paces(key);
+        if report_needed || self.worker(key).announced.is_some() {
+            self.renew_now(key);
         } else {
-            self.next_hold(key);
+            self.schedule_renewal(key);
         }
     }
 
-    /// hear takes in that a worker answers, and what its clock shows.
-    fn hear(&mut self, key: WorkerKey, sent: Millis, clock_ms: u64) {
+    /// record_contact records that a worker answered, and the reading of its clock.
+    fn record_contact(&mut self, key: WorkerKey, sent: Millis, clock_ms: u64) {
         let at = self.now.mono;
         let worker = self.worker_mut(key);
         worker.clock = Some(Clock { at, ms: clock_ms });
-        // Its report tells better what runs there.
-        worker.ended_unseen = None;
+        // The report shows what runs there, so nothing has to be presumed.
+        worker.presumed_ended = None;
         worker.reported = sent;
-        worker.final_hold = None;
-        worker.forgotten = worker.forgotten.max(worker.telling);
+        worker.final_renewal = None;
+        worker.ack_confirmed = worker.ack_confirmed.max(worker.acking);
         if worker.silent_since.take().is_some() {
             let text = format!("worker {} answers again", worker.info.id);
-            self.note("worker", None, text);
+            self.log("worker", None, text);
         }
     }
 
-    /// inherit takes in what a report shows of an earlier owner's runs, and tells whether
-    /// another one is wanted at once.
-    fn inherit(&mut self, key: WorkerKey, sent: Millis, whole: bool) -> bool {
+    /// update_inheritance records that a report arrived which shows an earlier owner's runs,
+    /// and reports whether another report is needed at once.
+    fn update_inheritance(&mut self, key: WorkerKey, sent: Millis, whole: bool) -> bool {
         let now = self.now.mono;
         let worker = self.worker_mut(key);
         let before = worker.is_inherited();
-        let again = worker.inherit(sent, now, whole);
+        let report_needed = worker.update_inheritance(sent, now, whole);
         self.place_wanted |= before && !self.worker(key).is_inherited();
-        again
+        report_needed
     }
 
-    /// meet notes that a worker has answered, if that is news.
-    fn meet(&mut self, key: WorkerKey) {
+    /// mark_contacted records that a worker has answered for the first time.
+    fn mark_contacted(&mut self, key: WorkerKey) {
         let worker = self.worker_mut(key);
-        if worker.life == Life::Met {
+        if worker.presence == Presence::Contacted {
             return;
         }
-        worker.life = Life::Met;
+        worker.presence = Presence::Contacted;
         let text = format!(
             "worker {} answered for the first time, {} runs there",
             worker.info.id,
             worker.runs.len()
         );
-        self.note("worker", None, text);
+        self.log("worker", None, text);
         self.saver.roster_changed = true;
         self.place_wanted = true;
     }
 
-    /// take_row takes in one run that a worker reports.
-    fn take_row(&mut self, key: WorkerKey, sent: Millis, row: &Row) {
-        let Some(task) = self.find(row.task) else {
-            self.report_unknown(key, row.task);
+    /// apply_run_status applies the status of one run in a report.
+    fn apply_run_status(&mut self, key: WorkerKey, sent: Millis, status: &RunStatus) {
+        let Some(task) = self.find(status.task) else {
+            self.log_unknown_run(key, status.task);
             return;
         };
-        let run = match self.run_on(task, key, row.run) {
+        let run = match self.find_run(task, key, status.run) {
             Some(run) => run,
             None => {
                 self.unqueue(task);
-                let run = self.adopt(task, key, row.run);
-                self.judge_adopted(task, run);
+                let run = self.adopt(task, key, status.run);
+                self.check_adopted(task, run);
                 run
             }
         };
-        self.refresh(run, row);
-        self.prove(run, sent);
+        self.update_run(run, status);
+        self.clear_run(run, sent);
     }
 
-    fn report_unknown(&mut self, key: WorkerKey, name: TaskName) {
+    fn log_unknown_run(&mut self, key: WorkerKey, name: TaskName) {
         let text = format!(
-            "worker {} runs a task of a job that is not known",
+            "worker {} runs a task of an unknown job",
             self.worker(key).info.id
         );
-        self.note("worker", Some(name), text);
+        self.log("worker", Some(name), text);
     }
 
-    /// judge_adopted stops an adopted run that must not go on.
-    fn judge_adopted(&mut self, task: TaskKey, run: RunKey) {
+    /// check_adopted stops an adopted run that must not go on.
+    fn check_adopted(&mut self, task: TaskKey, run: RunKey) {
         let others = self.task(task).runs.len() > 1;
-        let copies = self.shape(self.task(task).step).speculative;
+        let copies = self.step_spec(self.task(task).step).speculative;
         let over = self.task(task).done || self.job_of(task).state.is_final();
-        let text = "run of an earlier owner taken over".to_owned();
-        self.note("takeover", Some(self.name(task)), text);
+        let text = "adopted a run of an earlier owner".to_owned();
+        self.log("takeover", Some(self.name(task)), text);
         if over || (others && !copies) {
             self.stop(run);
         }
     }
 
-    /// run_on returns the run of a task on a worker, by its number.
-    pub(crate) fn run_on(&self, task: TaskKey, worker: WorkerKey, number: u32) -> Option<RunKey> {
+    /// find_run returns the run of a task on a worker, by its number.
+    pub(crate) fn find_run(&self, task: TaskKey, worker: WorkerKey, number: u32) -> Option<RunKey> {
         let here = |key: &&RunKey| {
             let run = self.runs.get(**key);
             run.is_some_and(|run| run.worker == worker && run.number == number)
@@ -132,13 +133,13 @@
         self.task(task).runs.iter().find(here).copied()
     }
 
-    fn refresh(&mut self, key: RunKey, row: &Row) {
+    fn update_run(&mut self, key: RunKey, status: &RunStatus) {
         let now = self.now.mono;
         let Some(run) = self.runs.get(key) else {
             return;
         };
         let (task, step) = (run.task, run.step);
-        let target_ms = self.shape(step).target_ms;
+        let target_ms = self.step_spec(step).target_ms;
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
@@ -146,40 +147,41 @@
             run.phase = Phase::Running;
             run.confirmed = Some(now);
         }
-        run.shown = true;
-        if run.percent != row.percent {
-            run.percent = row.percent;
-            run.moved = now;
+        run.reported = true;
+        if run.percent != status.percent {
+            run.percent = status.percent;
+            run.progressed_at = now;
         }
-        if run.saved != row.checkpoint {
-            run.saved.clone_from(&row.checkpoint);
+        if run.saved != status.checkpoint {
+            run.saved.clone_from(&status.checkpoint);
         }
         if run.serving {
-            let tail = row.figure.filter(|_| row.percent == PERCENT_DONE);
-            run.take_tail(now, tail, target_ms);
+            let tail = status.figure.filter(|_| status.percent == PERCENT_WORKING);
+            run.record_tail(now, tail, target_ms);
         } else {
-            run.used_milli = row.figure;
+            run.used_milli = status.figure;
         }
-        self.begin(task);
+        self.mark_running(task);
     }
 
-    /// miss_runs looks at the runs that a report does not show though it was asked for after
-    /// they were known to be there, or known to be refused. Times are whole milliseconds, so
-    /// the report must have been asked for in a later one.
+    /// handle_missing_runs handles runs that a report lacks though it was requested after they
+    /// were confirmed, after their start got no answer, or after the worker accepted an order
+    /// to stop them. Times are whole milliseconds, so the report must have been requested in a
+    /// later one.
     ///
-    /// That a run is not shown does not tell how it ended: its end may be listed later, and
-    /// may be that it is done. So it is told to stop, which bars its number, and its task is
-    /// placed again only if no end is listed within the time that a stop takes. Tasks that
-    /// were placed at once were done twice. A report that lists only some of the ends shows
-    /// nothing of the kind.
-    fn miss_runs(&mut self, key: WorkerKey, sent: Millis, rows: &[Row]) {
+    /// A missing run may have ended in any way, and may still be listed as done. So it is
+    /// ordered to stop, which makes the worker refuse its number, and its task is placed again
+    /// only if no end is listed within the time that a stop takes. Tasks that were placed again
+    /// at once were done twice. A report that lists only some of the ends says nothing about
+    /// missing runs.
+    fn handle_missing_runs(&mut self, key: WorkerKey, sent: Millis, statuses: &[RunStatus]) {
         for run in self.worker(key).runs.clone() {
             let Some(entry) = self.runs.get(run) else {
                 continue;
             };
             let name = self.name(entry.task);
-            let shown = |row: &Row| row.task == name && row.run == entry.number;
-            if rows.iter().any(shown) {
+            let shown = |status: &RunStatus| status.task == name && status.run == entry.number;
+            if statuses.iter().any(shown) {
                 continue;
             }
             match entry.phase {
@@ -187,15 +189,19 @@
                 Phase::Running if entry.confirmed.is_some_and(|at| sent > at) => {
                     let (number, worker) = (entry.number, self.worker(key));
                     let text = format!(
-                        "run {number} is gone from worker {} without an end; ends up to {} are known",
+                        "run {number} is missing from the report of worker {} and has no listed end; ends up to {} are known",
                         worker.info.id,
-                        worker.taken.complete()
+                        worker.received.last_contiguous()
                     );
-                    self.note("end", Some(name), text);
+                    self.log("end", Some(name), text);
                     self.stop(run);
                 }
-                Phase::Stopping if self.is_stopped(entry, sent) => {
-                    self.note("end", Some(name), "stopped run is not there".to_owned());
+                Phase::Stopping if self.has_ended(entry, sent) => {
+                    self.log(
+                        "end",
+                        Some(name),
+                        "stopped run is no longer on its worker".to_owned(),
+                    );
                     self.requeue(run);
                 }
                 _ => {}
@@ -203,14 +209,14 @@
         }
     }
 
-    /// is_stopped tells whether a run that a report does not show has ended:
-    /// one that was seen to work has the time a stop takes to list its end.
-    fn is_stopped(&self, run: &Run, sent: Millis) -> bool {
+    /// has_ended reports whether a stopped run that a report lacks has ended. A run that was
+    /// confirmed gets the time that a stop takes, in which its end may still be listed.
+    fn has_ended(&self, run: &Run, sent: Millis) -> bool {
         let wait_ms = if run.confirmed.is_some() {
             self.options.stop_ms
         } else {
             0
         };
-        run.stop_taken.is_some_and(|at| sent > at.plus(wait_ms))
+        run.stop_accepted.is_some_and(|at| sent > at.plus(wait_ms))
     }
 }
--- a/crates/stackpier-cell/src/roster.rs
+++ b/crates/stackpier-cell/src/roster.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The roster: workers that come, leave, and are given up.
+//! The roster: workers that join, leave, and are given up.
 
 use stackpier_core::{Millis, Size, Unix};
 
@@ -7,12 +7,12 @@
     Cell, RosterEntry,
     arena::WorkerKey,
     health::Health,
-    taken::Taken,
-    worker::{Info, Inheritance, Life, Worker},
+    received::Received,
+    worker::{Info, Inheritance, Presence, Worker},
 };
 
 impl Cell {
-    /// add_roster takes in the workers that an earlier owner may have used.
+    /// add_roster adds a worker that an earlier owner may have used.
     pub fn add_roster(&mut self, entry: &RosterEntry) {
         if self.worker_keys.contains_key(&entry.id) {
             return;
@@ -33,38 +33,38 @@
         let key = self.add_worker(info);
         let now = self.now.mono;
         let worker = self.worker_mut(key);
-        worker.inheritance = Inheritance::Unseen;
+        worker.inheritance = Inheritance::Unreported;
         worker.rostered = true;
         worker.unlisted_since = Some(now);
-        self.hold_now(key);
+        self.renew_now(key);
     }
 
-    /// miss_roster notes that the workers which earlier owners used can't be told: what they
-    /// leased is waited for.
-    pub fn miss_roster(&mut self) {
-        self.tenure.roster_unknown = true;
+    /// set_roster_unknown records that the workers which earlier owners used are not known, so that
+    /// tasks wait until everything leased by those owners has expired.
+    pub fn set_roster_unknown(&mut self) {
+        self.ownership.roster_unknown = true;
     }
 
-    /// list takes in a worker as the list shows it now.
-    pub(crate) fn list(&mut self, info: Info) {
+    /// apply_entry adds or updates a worker from its current entry in the list.
+    pub(crate) fn apply_entry(&mut self, info: Info) {
         let Some(key) = self.worker_keys.get(&info.id).copied() else {
             self.add_worker(info);
             return;
         };
         let (service, rack) = (
-            self.services.number(&info.service),
-            self.racks.number(&info.rack),
+            self.services.intern(&info.service),
+            self.racks.intern(&info.rack),
         );
         let now = self.now.mono;
         if self.announce(key, &info) {
             return;
         }
         let worker = self.worker_mut(key);
-        if worker.life == Life::Over {
-            // It was given up while it could not be reached, and shows again.
-            worker.life = Life::New;
+        if worker.presence == Presence::Gone {
+            // The worker was given up while it was unreachable, and its entry is back.
+            worker.presence = Presence::New;
             worker.clock = None;
-            worker.hold_after = now;
+            worker.renew_after = now;
         }
         let newly_draining = info.draining && !worker.info.draining;
         worker.started_at = worker.started_at.or(info.started_at);
@@ -73,89 +73,90 @@
         worker.rack = rack;
         worker.unlisted_since = None;
         worker.unreadable = false;
-        // One that had left may come back: it is in the roster before it gets starts.
-        let stays = worker.life == Life::Met && !worker.rostered && !worker.info.draining;
+        // A worker that had left may come back. It must be in the roster before it gets starts.
+        let stays =
+            worker.presence == Presence::Contacted && !worker.rostered && !worker.info.draining;
         self.saver.roster_changed |= stays;
         let worker = self.worker_mut(key);
         if newly_draining {
-            worker.drain_seen = Some(now);
+            worker.draining_since = Some(now);
             let text = format!("worker {} is draining", worker.info.id);
-            self.note("worker", None, text);
+            self.log("worker", None, text);
             self.check_drains();
         }
         self.place_wanted = true;
     }
 
-    /// add_worker adds a worker that was not known and asks it for a report.
+    /// add_worker adds a new worker and asks it for a report.
     fn add_worker(&mut self, info: Info) -> WorkerKey {
-        self.add_life(info.started_at, info)
+        self.add_incarnation(info.started_at, info)
     }
 
-    /// add_life adds a life of a worker, started at a time, and asks it for a report. What is
-    /// known of the worker may be the entry of an earlier life.
-    pub(crate) fn add_life(&mut self, started_at: Option<Unix>, info: Info) -> WorkerKey {
+    /// add_incarnation adds an incarnation of a worker and asks it for a report. `info` may be the
+    /// entry of an earlier incarnation.
+    pub(crate) fn add_incarnation(&mut self, started_at: Option<Unix>, info: Info) -> WorkerKey {
         let key = WorkerKey(self.workers.len() as u32);
         let worker = Worker {
-            service: self.services.number(&info.service),
-            rack: self.racks.number(&info.rack),
-            life: Life::New,
+            service: self.services.intern(&info.service),
+            rack: self.racks.intern(&info.rack),
+            presence: Presence::New,
             started_at,
             announced: None,
             unlisted_since: None,
             unreadable: false,
             rostered: false,
             inheritance: Inheritance::None,
-            ended_unseen: None,
+            presumed_ended: None,
             runs: Vec::new(),
             unanswered: Vec::new(),
-            reserved: Size::default(),
-            lasting_milli: 0,
+            allocated: Size::default(),
+            long_running_milli: 0,
             other_milli: 0,
             clock: None,
             deadline_ms: 0,
-            holding: false,
-            hold_sent: Millis(0),
-            final_hold: None,
-            hold_after: Millis(0),
+            renewing: false,
+            renewal_sent: Millis(0),
+            final_renewal: None,
+            renew_after: Millis(0),
             silent_since: None,
-            taken: Taken::default(),
-            noted: 0,
+            received: Received::default(),
+            acked: 0,
             reported: Millis(0),
-            forgotten: 0,
-            telling: 0,
-            note_after_save: 0,
+            ack_confirmed: 0,
+            acking: 0,
+            ack_after_save: 0,
             health: Health::default(),
             isolation: None,
             full_until: Millis(0),
-            unbounded_at: None,
-            closed: false,
-            spared: false,
+            relaxed_start_at: None,
+            cordoned: false,
+            evacuated: false,
             dedicated: None,
-            claim: None,
-            outlooks: Vec::new(),
-            drain_seen: info.draining.then_some(self.now.mono),
+            reservation: None,
+            predictions: Vec::new(),
+            draining_since: info.draining.then_some(self.now.mono),
             info,
         };
         let text = format!(
-            "worker {} at {} is known",
+            "worker {} at {} was added",
             worker.incarnation(),
             worker.info.address
         );
         self.worker_keys.insert(worker.info.id.clone(), key);
         self.workers.push(worker);
-        self.note("worker", None, text);
-        self.hold_now(key);
+        self.log("worker", None, text);
+        self.renew_now(key);
         key
     }
 
-    /// unlist notes that a worker left the list.
-    pub(crate) fn unlist(&mut self, id: &str) {
+    /// mark_unlisted records that a worker is no longer in the list.
+    pub(crate) fn mark_unlisted(&mut self, id: &str) {
         let Some(key) = self.worker_keys.get(id).copied() else {
             return;
         };
         let now = self.now.mono;
         let worker = self.worker_mut(key);
-        if worker.unlisted_since.is_some() || worker.life == Life::Over {
+        if worker.unlisted_since.is_some() || worker.presence == Presence::Gone {
             return;
         }
         worker.unlisted_since = Some(now);
@@ -166,11 +167,11 @@
             worker.info.draining,
             worker.runs.len()
         );
-        self.note("worker", None, text);
+        self.log("worker", None, text);
     }
 
-    /// mark_unreadable notes that a worker's entry can't be read: who wrote it, and of what
-    /// worker, is not known. One that was known before keeps what it runs.
+    /// mark_unreadable records that the entry of a worker can't be read, so that neither its author
+    /// nor the worker it describes is known. A worker that was known before keeps its runs.
     pub(crate) fn mark_unreadable(&mut self, id: &str) {
         let Some(key) = self.worker_keys.get(id).copied() else {
             return;
@@ -179,129 +180,132 @@
             return;
         }
         self.worker_mut(key).unreadable = true;
-        self.unlist(id);
+        self.mark_unlisted(id);
     }
 
-    /// check_workers sends holds that are due, and ends leases.
+    /// check_workers sends the renewals that are due and ends expired leases.
     pub(crate) fn check_workers(&mut self) {
         let now = self.now.mono;
-        self.settle_all();
-        for key in self.live_now() {
+        self.requeue_all_presumed_ended();
+        for key in self.collect_live_workers() {
             self.check_silence(key);
-            if self.is_given_up(self.worker(key)) {
-                self.lapse(key);
+            if self.may_presume_ended(self.worker(key)) {
+                self.expire_lease(key);
             }
-            self.retire(key);
-            self.strike_off(key);
+            self.give_up_unreachable(key);
+            self.deregister(key);
             let worker = self.worker(key);
-            if !worker.holding && now >= worker.hold_after {
-                self.hold_now(key);
+            if !worker.renewing && now >= worker.renew_after {
+                self.renew_now(key);
             }
         }
-        self.ask_unmet();
+        self.poll_uncontacted();
     }
 
-    /// lapse ends all runs on a worker whose lease is over by its own clock.
-    fn lapse(&mut self, key: WorkerKey) {
+    /// expire_lease ends all runs on a worker whose lease must have expired by the worker's own
+    /// clock.
+    fn expire_lease(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         let Some(end) = worker.lease_end() else {
             return;
         };
-        if worker.runs.is_empty() || worker.ended_unseen.is_some() {
+        if worker.runs.is_empty() || worker.presumed_ended.is_some() {
             return;
         }
         let text = format!(
-            "lease of worker {} is over as counted here, with {} runs, last asked {} ms ago",
+            "lease of worker {} has expired by this owner's clock, with {} runs, last renewal \
+             sent {} ms ago",
             worker.info.id,
             worker.runs.len(),
-            self.now.mono.since(worker.hold_sent)
+            self.now.mono.since(worker.renewal_sent)
         );
-        self.note("worker", None, text);
-        self.end_unseen(key, end);
+        self.log("worker", None, text);
+        self.presume_ended(key, end);
     }
 
-    /// retire gives a worker up that left the list and does not answer, once
-    /// nothing can run there any more. A later owner need not wait for it.
-    fn retire(&mut self, key: WorkerKey) {
+    /// give_up_unreachable gives up a worker that left the list and does not answer, once nothing
+    /// can run there any more, so that a later owner does not wait for it.
+    fn give_up_unreachable(&mut self, key: WorkerKey) {
         let now = self.now.mono;
         let worker = self.worker(key);
         let gone = worker.unlisted_since.is_some() && worker.silent_since.is_some();
-        let unused = worker.life == Life::New && !worker.is_inherited();
-        let over = unused && now >= self.tenure.inherited_until || self.is_given_up(worker);
+        let unused = worker.presence == Presence::New && !worker.is_inherited();
+        let over =
+            unused && now >= self.ownership.inherited_until || self.may_presume_ended(worker);
         let settled = worker.runs.is_empty() && self.has_stored_ends(worker);
         if gone && settled && over {
             self.give_up_worker(
                 key,
-                "it left the list, does not answer, and its lease is over",
+                "it left the list, does not answer, and its lease has expired",
             );
         }
     }
 
-    /// strike_off takes a worker that has left off the roster: a later owner would
-    /// wait for it to answer, and for longer than its lease if it never does.
-    fn strike_off(&mut self, key: WorkerKey) {
+    /// deregister removes a worker that has left from the roster. Otherwise a later owner would
+    /// wait for its answer, and for longer than its lease if it never comes.
+    fn deregister(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
-        if worker.life == Life::Met && worker.rostered && self.has_left(worker) {
+        if worker.presence == Presence::Contacted && worker.rostered && self.has_left(worker) {
             self.worker_mut(key).rostered = false;
             self.saver.roster_changed = true;
         }
     }
 
-    /// has_left tells whether a worker gets no starts any more, runs nothing, and lists no
-    /// end that the store does not have. The roster and the progress with its last ends may
-    /// go in several transactions: with only the first one done, a later owner would not
-    /// wait for the worker and start again what has ended there.
+    /// has_left reports whether a worker gets no more starts, runs nothing, and lists no end that
+    /// the store lacks. The roster and the job progress with the last ends may be saved in several
+    /// transactions. If only the roster were saved, a later owner would not wait for the worker and
+    /// would start tasks again that have ended there.
     pub(crate) fn has_left(&self, worker: &Worker) -> bool {
         let gone = |since: Millis| self.now.mono.since(since) >= self.options.unlisted_ms;
         let leaves = worker.info.draining || worker.unlisted_since.is_some_and(gone);
-        let listed_all = !worker.is_inherited() && !worker.has_unnoted_ends();
+        let listed_all = !worker.is_inherited() && !worker.has_unacked_ends();
         leaves && worker.runs.is_empty() && listed_all
     }
 
-    /// end_life notes that a worker's process is gone, and everything with it.
-    pub(crate) fn end_life(&mut self, key: WorkerKey, why: &str) {
+    /// end_incarnation records that the process of a worker is gone, and all its runs with it.
+    pub(crate) fn end_incarnation(&mut self, key: WorkerKey, why: &str) {
         let worker = self.worker_mut(key);
-        if worker.life == Life::Over {
+        if worker.presence == Presence::Gone {
             return;
         }
-        // One that was taken down on purpose has not crashed.
-        if worker.silent_since.is_none() && !worker.closed {
+        // A worker that was taken down on purpose has not crashed.
+        if worker.silent_since.is_none() && !worker.cordoned {
             self.suspect_runs(key);
         }
         self.give_up_worker(key, why);
-        self.end_unseen(key, self.now.mono);
+        self.presume_ended(key, self.now.mono);
     }
 
-    /// give_up_worker notes that nothing is expected of a worker any more.
+    /// give_up_worker records that nothing more is expected from a worker.
     fn give_up_worker(&mut self, key: WorkerKey, why: &str) {
         let worker = self.worker_mut(key);
-        worker.life = Life::Over;
-        worker.ended_unseen = None;
-        // If it shows again, it is in the roster before it gets starts.
+        worker.presence = Presence::Gone;
+        worker.presumed_ended = None;
+        // If the worker comes back, it must be in the roster before it gets starts.
         worker.rostered = false;
         let text = format!(
-            "worker {} is over: {why}; {} runs ended with it",
+            "worker {} has ended: {why}; {} runs ended with it",
             worker.incarnation(),
             worker.runs.len()
         );
-        self.note("worker", None, text);
+        self.log("worker", None, text);
         self.saver.roster_changed = true;
         self.place_wanted = true;
     }
 
-    /// lives returns all lives of workers, also those that are over.
-    pub(crate) fn lives(&self) -> impl Iterator<Item = WorkerKey> + use<> {
+    /// incarnations returns all incarnations of workers, including those that have ended.
+    pub(crate) fn incarnations(&self) -> impl Iterator<Item = WorkerKey> + use<> {
         (0..self.workers.len() as u32).map(WorkerKey)
     }
 
-    /// live returns the workers that are not known to be over.
-    pub(crate) fn live(&self) -> impl Iterator<Item = WorkerKey> + '_ {
-        let alive = |key: &WorkerKey| self.worker(*key).life != Life::Over;
-        self.lives().filter(alive)
+    /// live_workers returns the workers that are not known to have ended.
+    pub(crate) fn live_workers(&self) -> impl Iterator<Item = WorkerKey> + '_ {
+        let alive = |key: &WorkerKey| self.worker(*key).presence != Presence::Gone;
+        self.incarnations().filter(alive)
     }
 
-    /// live_now returns the same as a list, for loops that change workers.
-    pub(crate) fn live_now(&self) -> Vec<WorkerKey> {
-        self.live().collect()
+    /// collect_live_workers returns the same workers as a list, for loops that change them.
+    pub(crate) fn collect_live_workers(&self) -> Vec<WorkerKey> {
+        self.live_workers().collect()
     }
 }
--- a/crates/stackpier-cell/src/silence.rs
+++ b/crates/stackpier-cell/src/silence.rs
@@ -1,56 +1,56 @@
 // SPDX-License-Identifier: Apache-2.0
-//! When the silence of a worker counts as the end of what runs there.
+//! When the runs of a silent worker count as ended.
 //!
-//! That is once its lease is over and a final hold, sent shortly before, got no answer. An
-//! earlier hold may have been lost while the worker has been in reach since, and it may know
-//! that tasks are done which would start again elsewhere.
+//! They do once the lease of the worker has expired and a final renewal, sent shortly before that,
+//! got no answer. Without the final renewal, an earlier one might just have been lost while the
+//! worker stayed reachable: it may list tasks as done that would then be started again elsewhere.
 
 use stackpier_core::Millis;
 
 use crate::{
     Cell,
     arena::WorkerKey,
-    worker::{Life, Worker},
+    worker::{Presence, Worker},
 };
 
-/// ANSWER_MS is how long a worker that can be reached may take to answer.
+/// ANSWER_MS is how long a reachable worker may take to answer.
 const ANSWER_MS: u64 = 200;
 
 impl Cell {
-    /// check_silence sends a silent worker the final hold before its lease is over, also while
-    /// an earlier one may yet be answered.
+    /// check_silence sends a silent worker the final renewal shortly before its lease expires, even
+    /// while an earlier renewal may still be answered.
     pub(crate) fn check_silence(&mut self, key: WorkerKey) {
         let now = self.now.mono;
         let worker = self.worker(key);
         let is_near = |end: Millis| now.plus(ANSWER_MS) >= end;
-        let due = worker.final_hold.is_none() && self.silence_end(worker).is_some_and(is_near);
-        if due && self.send_hold(key, 0) {
-            self.worker_mut(key).final_hold = Some(now);
+        let due = worker.final_renewal.is_none() && self.silence_end(worker).is_some_and(is_near);
+        if due && self.send_renewal(key, 0) {
+            self.worker_mut(key).final_renewal = Some(now);
         }
     }
 
-    /// is_given_up tells whether the silence of a worker counts as the end of what runs there.
-    pub(crate) fn is_given_up(&self, worker: &Worker) -> bool {
+    /// may_presume_ended reports whether the runs of a silent worker count as ended.
+    pub(crate) fn may_presume_ended(&self, worker: &Worker) -> bool {
         let now = self.now.mono;
         let over = self.silence_end(worker).is_some_and(|end| now >= end);
         let unanswered = |sent: Millis| now >= sent.plus(ANSWER_MS);
-        over && worker.final_hold.is_some_and(unanswered)
+        over && worker.final_renewal.is_some_and(unanswered)
     }
 
-    /// may_tell_of_earlier tells whether a silent worker may yet answer what an earlier owner
-    /// has there.
-    pub(crate) fn may_tell_of_earlier(&self, worker: &Worker) -> bool {
-        let unmet = worker.life == Life::New && worker.is_inherited();
-        unmet && worker.silent_since.is_some() && !self.is_given_up(worker)
+    /// may_report_inherited reports whether a silent worker may still report runs or ends of an
+    /// earlier owner.
+    pub(crate) fn may_report_inherited(&self, worker: &Worker) -> bool {
+        let uncontacted = worker.presence == Presence::New && worker.is_inherited();
+        uncontacted && worker.silent_since.is_some() && !self.may_presume_ended(worker)
     }
 
-    /// silence_end returns when the last lease on a silent worker is over.
+    /// silence_end returns when the last lease of a silent worker expires.
     fn silence_end(&self, worker: &Worker) -> Option<Millis> {
         worker.silent_since?;
-        match worker.life {
-            Life::Met => worker.lease_end(),
-            Life::New if worker.is_inherited() => Some(self.tenure.inherited_until),
-            Life::New | Life::Over => None,
+        match worker.presence {
+            Presence::Contacted => worker.lease_end(),
+            Presence::New if worker.is_inherited() => Some(self.ownership.inherited_until),
+            Presence::New | Presence::Gone => None,
         }
     }
 }
