--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The demo: an intent and requests go the whole way through real processes.
+//! The demo: submits a service and a batch job to real processes and sends requests to them.
 
 use anyhow::{Result, ensure};
 use stackpier_testkit::{
@@ -36,7 +36,7 @@
     for place in 1..cluster.daemons.len() {
         call(&cluster, place)?;
     }
-    println!("the whole path works");
+    println!("demo passed");
     Ok(())
 }
 
--- a/xtask/src/red.rs
+++ b/xtask/src/known_failures.rs
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Tests that are known to fail: `KNOWN-RED.txt` names them, one line each, as
-//! `TEST: cause, issue`. A run of all tests passes over just these and prints
-//! them.
+//! Tests that are known to fail: `KNOWN-RED.txt` lists them, one line each, as
+//! `TEST: cause, issue`. A run of all tests skips exactly these and prints them.
 
 use std::{fs, io::ErrorKind};
 
@@ -11,20 +10,20 @@
 
 /// LIST is the file with the tests that are known to fail.
 const LIST: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../KNOWN-RED.txt");
-/// MOST is how many tests may be known to fail at a time.
-const MOST: usize = 3;
+/// MAX_KNOWN is the maximum number of tests in the list.
+const MAX_KNOWN: usize = 3;
 
-/// test runs all tests but those that are known to fail.
+/// test runs all tests except those that are known to fail.
 pub fn test() -> Result<()> {
-    let known = known()?;
+    let known = read_known_failures()?;
     ensure!(
-        known.len() <= MOST,
-        "{LIST} lists {} tests, {MOST} are allowed",
+        known.len() <= MAX_KNOWN,
+        "{LIST} lists {} tests, {MAX_KNOWN} are allowed",
         known.len()
     );
     let mut words = vec!["test", "--workspace", "--", "--exact"];
     for line in &known {
-        println!("known red, not run: {line}");
+        println!("known failure, skipped: {line}");
         let (name, _) = line
             .split_once(": ")
             .with_context(|| format!("{LIST}: no cause in '{line}'"))?;
@@ -33,8 +32,8 @@
     cargo(&words)
 }
 
-/// known returns the lines of the list, none if there is no such file.
-fn known() -> Result<Vec<String>> {
+/// read_known_failures returns the non-empty lines of the list, or none if the file does not exist.
+fn read_known_failures() -> Result<Vec<String>> {
     match fs::read_to_string(LIST) {
         Ok(text) => {
             let lines = text.lines().filter(|line| !line.trim().is_empty());
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
-//! `cargo xtask demo | test | fuzz | measure`: the demo, the tests, the fuzz and
-//! the experiments.
+//! `cargo xtask demo | test | fuzz | measure`: runs the demo, the tests, the fuzz tests and the
+//! experiments.
 
 mod demo;
+mod known_failures;
 mod measure;
-mod red;
 
 use std::process::Command;
 
 use anyhow::{Result, bail, ensure};
 
-/// HELP is the list of commands.
+/// HELP is the usage text.
 const HELP: &str = "\
 Usage:
-  cargo xtask demo    run the whole path on loopback and say what was seen
-  cargo xtask test    run all tests but those that KNOWN-RED.txt names
+  cargo xtask demo    run a small deployment on loopback and print what happens
+  cargo xtask test    run all tests except those listed in KNOWN-RED.txt
   cargo xtask fuzz --cases N --seed S
-                      run the stateful fuzz with many cases
+                      run the stateful fuzz tests with N cases
   cargo xtask measure routing [--seed S]
   cargo xtask measure cell | steps [--seed S]
   cargo xtask measure capacity
@@ -33,11 +33,11 @@
         }
         ["test"] => {
             cargo(&["build", "--workspace"])?;
-            red::test()
+            known_failures::test()
         }
         ["measure", "capacity"] => {
             cargo(&["build", "--workspace", "--release"])?;
-            load(&["capacity"])?;
+            run_load_tool(&["capacity"])?;
             cargo(&[
                 "run",
                 "--quiet",
@@ -49,20 +49,20 @@
             ])
         }
         ["measure-daemons"] => measure::run(),
-        ["measure", experiment @ ("routing" | "cell" | "steps")] => load(&[*experiment]),
+        ["measure", experiment @ ("routing" | "cell" | "steps")] => run_load_tool(&[*experiment]),
         [
             "measure",
             experiment @ ("routing" | "cell" | "steps"),
             "--seed",
             seed,
-        ] => load(&[*experiment, "--seed", *seed]),
+        ] => run_load_tool(&[*experiment, "--seed", *seed]),
         ["fuzz", "--cases", cases, "--seed", seed] => fuzz(cases, seed),
-        _ => bail!("no such command\n{HELP}"),
+        _ => bail!("unknown command\n{HELP}"),
     }
 }
 
-/// load runs the experiment tool.
-fn load(words: &[&str]) -> Result<()> {
+/// run_load_tool runs `stackpier-load`, the tool for experiments.
+fn run_load_tool(words: &[&str]) -> Result<()> {
     let mut all = vec![
         "run",
         "--quiet",
@@ -75,8 +75,7 @@
     cargo(&all)
 }
 
-/// fuzz runs all stateful fuzz tests with many cases, and prints what they
-/// reached.
+/// fuzz runs all stateful fuzz tests with the given number of cases, and prints their coverage.
 fn fuzz(cases: &str, seed: &str) -> Result<()> {
     let status = Command::new(env!("CARGO"))
         .args([
@@ -90,7 +89,7 @@
         .env("PROPTEST_CASES", cases)
         .env("PROPTEST_RNG_SEED", seed)
         .status()?;
-    ensure!(status.success(), "the fuzz failed");
+    ensure!(status.success(), "the fuzz tests failed");
     Ok(())
 }
 
--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! `cargo xtask measure capacity`: what idle daemons cost at several sizes of a
-//! deployment on loopback.
+//! `cargo xtask measure capacity`: measures what idle daemons use (processor time, memory, network
+//! and store traffic) at several sizes of a deployment on loopback.
 
 use std::{fs, thread, time::Duration};
 
@@ -11,20 +11,20 @@
     wait,
 };
 
-/// WORKERS are the counts of workers that are measured.
+/// WORKERS are the deployment sizes that are measured, in workers.
 const WORKERS: [usize; 4] = [8, 16, 32, 48];
-/// WORKERS_PER_RACK is the users' count.
+/// WORKERS_PER_RACK is the rack size of the operators' deployments.
 const WORKERS_PER_RACK: usize = 8;
-/// TASKS_PER_WORKER is the count of service tasks on each worker.
+/// TASKS_PER_WORKER is the number of service tasks on each worker.
 const TASKS_PER_WORKER: usize = 3;
-/// SETTLE lets the deployment come to rest before it is measured.
+/// SETTLE is the pause before a measurement, in which start-up activity ends.
 const SETTLE: Duration = Duration::from_secs(4);
-/// LENGTH is how long it is measured.
+/// LENGTH is the duration of a measurement.
 const LENGTH: Duration = Duration::from_secs(10);
-/// TICKS_PER_SECOND is the unit of processor time in `/proc`.
+/// TICKS_PER_SECOND is the number of clock ticks per second in which `/proc` counts processor time.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Sample is what one daemon has used since it started.
+/// Sample holds the totals of one daemon since it started.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
     processor_s: f64,
@@ -33,7 +33,7 @@
     messages: f64,
 }
 
-/// run prints a row for each size.
+/// run measures each deployment size and prints a row for it.
 pub fn run() -> Result<()> {
     println!(
         "{:>7} {:>6} {:>7} {:>10} {:>9} {:>12} {:>12} {:>9} {:>8} {:>8} {:>12}",
@@ -50,12 +50,12 @@
         "store B/s"
     );
     for workers in WORKERS {
-        row(workers)?;
+        measure(workers)?;
     }
     Ok(())
 }
 
-fn row(workers: usize) -> Result<()> {
+fn measure(workers: usize) -> Result<()> {
     let cluster = Cluster::start(Plan {
         workers,
         workers_per_rack: WORKERS_PER_RACK,
@@ -69,9 +69,9 @@
         (0..cluster.daemons.len()).all(|place| cluster.await_running(place, "fleet", tasks).is_ok())
     })?;
     thread::sleep(SETTLE);
-    let (before, store) = (samples(&cluster)?, cluster.stats()?);
+    let (before, store_before) = (samples(&cluster)?, cluster.stats()?);
     thread::sleep(LENGTH);
-    let (after, later) = (samples(&cluster)?, cluster.stats()?);
+    let (after, store_after) = (samples(&cluster)?, cluster.stats()?);
     let seconds = LENGTH.as_secs_f64();
     let daemons = cluster.daemons.len() as f64;
     let each = |part: fn(&Sample) -> f64| {
@@ -86,9 +86,9 @@
         each(|s| s.sent_bytes),
         each(|s| s.received_bytes),
         each(|s| s.messages),
-        (later.reads - store.reads) as f64 / seconds,
-        (later.writes - store.writes) as f64 / seconds,
-        (bytes(&later) - bytes(&store)) as f64 / seconds,
+        (store_after.reads - store_before.reads) as f64 / seconds,
+        (store_after.writes - store_before.writes) as f64 / seconds,
+        (bytes(&store_after) - bytes(&store_before)) as f64 / seconds,
     );
     Ok(())
 }
@@ -115,7 +115,7 @@
         .unwrap_or(f64::NAN)
 }
 
-/// processor_s reads user and system time, fields 14 and 15 of `stat`.
+/// processor_s returns the user and system time of a process, fields 14 and 15 of its `stat`.
 fn processor_s(id: u32) -> Result<f64> {
     let text = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let after_name = text.rsplit(')').next().unwrap_or_default();
@@ -131,13 +131,13 @@
 
 /// memory_mib returns the largest resident set of a daemon.
 fn memory_mib(cluster: &Cluster) -> Result<f64> {
-    let mut most = 0.0_f64;
+    let mut max = 0.0_f64;
     for daemon in &cluster.daemons {
         let id = daemon.process.as_ref().context("the daemon runs")?.id();
         let text = fs::read_to_string(format!("/proc/{id}/status"))?;
         let line = text.lines().find(|line| line.starts_with("VmRSS:"));
         let kib = line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok());
-        most = most.max(kib.unwrap_or(0.0) / 1_024.0);
+        max = max.max(kib.unwrap_or(0.0) / 1_024.0);
     }
-    Ok(most)
+    Ok(max)
 }
