--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -131,13 +131,13 @@
 
 /// memory_mib returns the largest resident set of a daemon.
 fn memory_mib(cluster: &Cluster) -> Result<f64> {
-    let mut max = 0.0_f64;
+    let mut largest = 0.0_f64;
     for daemon in &cluster.daemons {
         let id = daemon.process.as_ref().context("the daemon runs")?.id();
         let text = fs::read_to_string(format!("/proc/{id}/status"))?;
         let line = text.lines().find(|line| line.starts_with("VmRSS:"));
         let kib = line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok());
-        max = max.max(kib.unwrap_or(0.0) / 1_024.0);
+        largest = largest.max(kib.unwrap_or(0.0) / 1_024.0);
     }
-    Ok(max)
+    Ok(largest)
 }
