--- a/crates/stackpier-scheduler/src/cluster.rs
+++ b/crates/stackpier-scheduler/src/cluster.rs
@@ -8,7 +8,7 @@
     keys::{CLUSTER, MEMBERS, Member, OWNER, Ownership},
     node::{Node, Owned, Registered},
     store::{Change, Item},
-    watch::{Feed, Follower},
+    watch::{Follower, Update},
 };
 
 /// Cluster follows the ownership and the daemons.
@@ -25,16 +25,18 @@
         true
     }
 
-    fn take(&mut self, feed: Feed) {
-        match feed {
-            Feed::All(items) => {
+    fn apply(&mut self, update: Update) {
+        match update {
+            Update::All(items) => {
                 self.node.members.borrow_mut().clear();
-                items.iter().for_each(|item| self.node.take_cluster(item));
+                items
+                    .iter()
+                    .for_each(|item| self.node.apply_cluster_item(item));
             }
-            Feed::Changes(changes) => {
+            Update::Changes(changes) => {
                 for change in changes {
                     match change {
-                        Change::Put(item) => self.node.take_cluster(&item),
+                        Change::Put(item) => self.node.apply_cluster_item(&item),
                         Change::Removed(key) => self.node.remove_member(&key),
                     }
                 }
@@ -44,9 +46,9 @@
 }
 
 impl<P: Platform> Node<P> {
-    fn take_cluster(&self, item: &Item) {
+    fn apply_cluster_item(&self, item: &Item) {
         if item.key == OWNER {
-            self.take_ownership(item);
+            self.apply_ownership(item);
             return;
         }
         match decode::<Member>(&item.value) {
@@ -66,8 +68,8 @@
         }
     }
 
-    /// take_ownership takes in who owns the cell. Older news is left aside.
-    pub(crate) fn take_ownership(&self, item: &Item) {
+    /// apply_ownership takes in who owns the cell. Older news is left aside.
+    pub(crate) fn apply_ownership(&self, item: &Item) {
         let ownership = match decode::<Ownership>(&item.value) {
             Ok(ownership) => ownership,
             Err(error) => {
@@ -90,7 +92,7 @@
             ownership,
             revision: item.revision,
         }));
-        self.heard.set(self.mono());
+        self.last_contact.set(self.mono());
         if !own {
             self.depose(fence, "the store shows another owner");
         }
--- a/crates/stackpier-scheduler/src/daemon.rs
+++ b/crates/stackpier-scheduler/src/daemon.rs
@@ -25,20 +25,20 @@
     member,
     node::{Node, pause},
     store::{Committed, Item, Transaction},
-    watch::{Feed, Follower, follow},
+    watch::{Follower, Update, follow},
 };
 
 /// DRAIN_MS is how long a daemon that was told to stop goes on taking
 /// connections: the balancer misses two checks, one a second, before it sends
 /// no more.
 const DRAIN_MS: u64 = 2_300;
-/// LAST_MS is how long before it would be killed a stopping daemon ends,
+/// STOP_MARGIN_MS is how long before it would be killed a stopping daemon ends,
 /// whatever is still open.
-const LAST_MS: u64 = 1_000;
+const STOP_MARGIN_MS: u64 = 1_000;
 /// STOP_POLL_MS is the time between two looks at what is still open.
 const STOP_POLL_MS: u64 = 50;
-/// FETCH_LIMIT bounds asking a peer for its configuration.
-const FETCH_LIMIT: std::time::Duration = std::time::Duration::from_millis(800);
+/// FETCH_TIMEOUT bounds asking a peer for its configuration.
+const FETCH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(800);
 
 /// run serves until the process is told to stop. `callers` answers client
 /// accounts.
@@ -50,7 +50,7 @@
     let readiness = listen(settings.readiness).await?;
     let metrics = listen(settings.metrics).await?;
     let peers = listen(settings.peers).await?;
-    let aside = Rc::new(Cell::new(0));
+    let other_open = Rc::new(Cell::new(0));
     tokio::task::spawn_local(serve(
         callers_port,
         callers,
@@ -61,15 +61,15 @@
         readiness,
         Readiness(node.clone()),
         closing.clone(),
-        Rc::clone(&aside),
+        Rc::clone(&other_open),
     ));
     tokio::task::spawn_local(serve(
         metrics,
         Metrics(node.clone()),
         closing,
-        Rc::clone(&aside),
+        Rc::clone(&other_open),
     ));
-    tokio::task::spawn_local(link::serve(peers, node.clone(), aside));
+    tokio::task::spawn_local(link::serve(peers, node.clone(), other_open));
     tokio::task::spawn_local(follow(node.clone(), Configs { node: node.clone() }, None));
     tokio::task::spawn_local(member::run(node.clone()));
     node.say("daemon", &format!("started: {settings:?}"));
@@ -95,18 +95,19 @@
 
 async fn stop<P: Platform>(node: &Node<P>, close: &watch::Sender<bool>, open: &Cell<usize>) {
     let start = node.mono();
-    let last = node.settings.grace_ms.saturating_sub(LAST_MS);
+    let limit_ms = node.settings.grace_ms.saturating_sub(STOP_MARGIN_MS);
     node.stopping.set(true);
-    node.ends_at.set(Some(start.plus(last)));
+    node.ends_at.set(Some(start.plus(limit_ms)));
     node.say("daemon", "stopping");
     node.release().await;
-    let drain = DRAIN_MS.min(last);
-    while node.mono().since(start) < drain {
+    let drain_ms = DRAIN_MS.min(limit_ms);
+    while node.mono().since(start) < drain_ms {
         pause(STOP_POLL_MS).await;
     }
     close.send_replace(true);
-    let waits = || open.get() > 0 || node.busy.get() > 0 || !node.unsaved.borrow().is_empty();
-    while waits() && node.mono().since(start) < last {
+    let has_work =
+        || open.get() > 0 || node.open_requests.get() > 0 || !node.unsaved.borrow().is_empty();
+    while has_work() && node.mono().since(start) < limit_ms {
         pause(STOP_POLL_MS).await;
     }
     let text = format!("stopped with {} connections open", open.get());
@@ -150,8 +151,8 @@
         self.config.borrow().clone()
     }
 
-    /// take_config puts a configuration in force, unless a newer one is.
-    fn take_config(&self, item: &Item, from: &str) {
+    /// apply_config puts a configuration in force, unless a newer one is.
+    fn apply_config(&self, item: &Item, from: &str) {
         let config = match self.platform.config(item) {
             Ok(config) => config,
             Err(error) => {
@@ -176,8 +177,8 @@
         self.feed_queues();
     }
 
-    /// take_plan takes in a plan of maintenance.
-    fn take_plan(&self, item: &Item) {
+    /// apply_plan takes in a plan of maintenance.
+    fn apply_plan(&self, item: &Item) {
         let plan = match self.platform.plan(item) {
             Ok(Some(plan)) => plan,
             Ok(None) => return,
@@ -192,8 +193,8 @@
             self.say("config", &text);
             return;
         }
-        let known = |other: &Plan| other.number == plan.number;
-        if self.plans.borrow().iter().any(known) {
+        let is_same = |other: &Plan| other.number == plan.number;
+        if self.plans.borrow().iter().any(is_same) {
             return;
         }
         self.plans.borrow_mut().push(plan);
@@ -204,7 +205,7 @@
     pub(crate) async fn fetch_config(&self, address: &str) {
         if let Ok(Response::Config(value, revision)) = self
             .links
-            .call(address, &Request::Config, FETCH_LIMIT)
+            .call(address, &Request::Config, FETCH_TIMEOUT)
             .await
         {
             let key = self.platform.config_key().to_owned();
@@ -213,7 +214,7 @@
                 value,
                 revision,
             };
-            self.take_config(&item, "a peer");
+            self.apply_config(&item, "a peer");
         }
     }
 }
@@ -224,11 +225,11 @@
 }
 
 impl<P: Platform> Configs<P> {
-    fn take_item(&self, item: &Item) {
+    fn apply_item(&self, item: &Item) {
         if item.key == self.node.platform.config_key() {
-            self.node.take_config(item, "the store");
+            self.node.apply_config(item, "the store");
         } else {
-            self.node.take_plan(item);
+            self.node.apply_plan(item);
         }
     }
 }
@@ -242,16 +243,16 @@
         true
     }
 
-    /// skips is true: each configuration replaces the one before. Changes that come twelve
+    /// wants_latest_only is true: each configuration replaces the one before. Changes that come twelve
     /// times a second are more than a link of 2 Mbit/s carries one by one, and the last of
     /// them was in force seconds late.
-    fn skips(&self) -> bool {
+    fn wants_latest_only(&self) -> bool {
         true
     }
 
-    fn take(&mut self, feed: Feed) {
-        for item in feed.into_items() {
-            self.take_item(&item);
+    fn apply(&mut self, update: Update) {
+        for item in update.into_items() {
+            self.apply_item(&item);
         }
     }
 }
@@ -261,7 +262,7 @@
         match request {
             Request::Heartbeat(heartbeat) => Response::Alive(self.alive(&heartbeat)),
             Request::Store => Response::Flag(self.store_answers()),
-            Request::Heard(fence) => Response::Flag(self.heard_owner(fence)),
+            Request::Heard(fence) => Response::Flag(self.has_owner_contact(fence)),
             Request::Config => match self.config_item.borrow().as_ref() {
                 Some(item) => Response::Config(item.value.clone(), item.revision),
                 None => Response::NotOwner,
--- a/crates/stackpier-scheduler/src/following.rs
+++ b/crates/stackpier-scheduler/src/following.rs
@@ -14,7 +14,7 @@
     keys::{self, Entry, JOBS},
     node::Node,
     store::{Change, Item},
-    watch::{Feed, Follower},
+    watch::{Follower, Update},
 };
 
 /// JOBS_PAUSE_MS is the pause between two looks at new jobs in the store.
@@ -36,9 +36,9 @@
 }
 
 impl<P: Platform> Jobs<P> {
-    fn take_item(&mut self, item: &Item) {
+    fn apply_item(&mut self, item: &Item) {
         match keys::entry(&item.key) {
-            Some(Entry::Job(job)) => self.take_job(job, item),
+            Some(Entry::Job(job)) => self.apply_job(job, item),
             Some(Entry::Cancel(job)) => self.node.feed(self.fence, Event::Cancelled(job)),
             None => self
                 .node
@@ -46,15 +46,15 @@
         }
     }
 
-    /// take_job gives the cell a job. One whose progress can't be read is left alone: it may
+    /// apply_job gives the cell a job. One whose progress can't be read is left alone: it may
     /// have begun, and tasks of it may be done.
-    fn take_job(&mut self, job: key::Job, item: &Item) {
+    fn apply_job(&mut self, job: key::Job, item: &Item) {
         let subject = || Some(keys::hex(job));
-        let record = self.node.readable(subject(), "the job", &item.value);
+        let record = self.node.decode_or_log(subject(), "the job", &item.value);
         let Some(record) = record else {
             return;
         };
-        let progress = match self.saved(job) {
+        let progress = match self.saved_progress(job) {
             Ok(progress) => progress.map(Box::new),
             Err(error) => {
                 let text = format!("job left alone, its progress is not readable: {error}");
@@ -67,8 +67,8 @@
             .take_in(self.fence, self.source, job, Box::new(record), progress);
     }
 
-    /// saved returns what earlier owners saved of a job, if anything.
-    fn saved(&self, job: key::Job) -> Result<Option<Progress>> {
+    /// saved_progress returns what earlier owners saved of a job, if anything.
+    fn saved_progress(&self, job: key::Job) -> Result<Option<Progress>> {
         let value = self.progress.get(&job);
         value.map(|value| decode(value)).transpose()
     }
@@ -87,9 +87,9 @@
         JOBS_PAUSE_MS
     }
 
-    fn take(&mut self, feed: Feed) {
-        for item in feed.into_items() {
-            self.take_item(&item);
+    fn apply(&mut self, update: Update) {
+        for item in update.into_items() {
+            self.apply_item(&item);
         }
     }
 }
@@ -103,7 +103,7 @@
 }
 
 impl<P: Platform> Workers<P> {
-    fn take_item(&mut self, item: &Item) {
+    fn apply_item(&mut self, item: &Item) {
         match self.node.platform.worker(item) {
             Ok(info) => {
                 if !self.listed.contains(&info.id) {
@@ -125,7 +125,7 @@
         self.node.feed(self.fence, Event::Unlisted(id.to_owned()));
     }
 
-    fn take_all(&mut self, items: &[Item]) {
+    fn apply_all(&mut self, items: &[Item]) {
         let platform = &self.node.platform;
         let present: Vec<&str> = items
             .iter()
@@ -140,7 +140,7 @@
         for id in gone {
             self.remove(&id);
         }
-        items.iter().for_each(|item| self.take_item(item));
+        items.iter().for_each(|item| self.apply_item(item));
     }
 }
 
@@ -157,13 +157,13 @@
         WORKERS_PAUSE_MS
     }
 
-    fn take(&mut self, feed: Feed) {
-        match feed {
-            Feed::All(items) => self.take_all(&items),
-            Feed::Changes(changes) => {
+    fn apply(&mut self, update: Update) {
+        match update {
+            Update::All(items) => self.apply_all(&items),
+            Update::Changes(changes) => {
                 for change in changes {
                     match change {
-                        Change::Put(item) => self.take_item(&item),
+                        Change::Put(item) => self.apply_item(&item),
                         Change::Removed(key) => {
                             let id = self.node.platform.worker_id(&key).to_owned();
                             self.remove(&id);
--- a/crates/stackpier-scheduler/src/handover.rs
+++ b/crates/stackpier-scheduler/src/handover.rs
@@ -16,19 +16,19 @@
     owner::Owner,
 };
 
-/// ASK_LIMIT bounds asking the earlier owner. Inherited tasks wait for as long.
-const ASK_LIMIT: Duration = Duration::from_millis(350);
+/// QUERY_TIMEOUT bounds asking the earlier owner. Inherited tasks wait for as long.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(350);
 /// RETRY_MS is the pause before a message to the successor is sent again.
 const RETRY_MS: u64 = 200;
-/// KEPT_MS is for how long an earlier owner tries: by then its successor has started again
+/// HANDOVER_MS is for how long an earlier owner tries: by then its successor has started again
 /// what it inherited, as no lease lasts longer.
-const KEPT_MS: u64 = 16_000;
+const HANDOVER_MS: u64 = 16_000;
 /// JOBS_PER_MESSAGE bounds a message: a slow link carries it within the time of a question.
 const JOBS_PER_MESSAGE: usize = 32;
 
-/// Earlier is what a daemon that takes the cell over knows of the owner before it.
+/// Predecessor is what a daemon that takes the cell over knows of the owner before it.
 #[derive(Clone, Debug)]
-pub(crate) struct Earlier {
+pub(crate) struct Predecessor {
     /// Whether it may still act.
     pub may_act: bool,
     /// Where it takes messages, if that is known.
@@ -52,7 +52,7 @@
 
     /// hand_over sends what is kept until the successor has it or nobody waits for it any more.
     async fn hand_over(&self) {
-        let end = self.mono().plus(KEPT_MS);
+        let end = self.mono().plus(HANDOVER_MS);
         while self.mono() < end && !self.unsaved.borrow().is_empty() {
             let unsaved = self.unsaved.borrow().clone();
             if self.send_unsaved(&unsaved).await.is_ok() {
@@ -92,10 +92,10 @@
         self.unsaved.borrow().clone()
     }
 
-    /// ask_earlier asks the earlier owner for what it could not save.
-    pub(crate) async fn ask_earlier(&self, fence: u64, address: &str) {
+    /// query_predecessor asks the earlier owner for what it could not save.
+    pub(crate) async fn query_predecessor(&self, fence: u64, address: &str) {
         let request = Request::Unsaved(fence);
-        let asked = self.links.call(address, &request, ASK_LIMIT).await;
+        let asked = self.links.call(address, &request, QUERY_TIMEOUT).await;
         let unsaved = match asked {
             Ok(Response::Unsaved(unsaved)) => unsaved,
             other => {
--- a/crates/stackpier-scheduler/src/jobs.rs
+++ b/crates/stackpier-scheduler/src/jobs.rs
@@ -115,7 +115,7 @@
     /// the store already.
     fn settle(&self, job: key::Job, items: &[Item]) -> Result<bool> {
         if let Some(item) = items.iter().find(|item| item.key == OWNER) {
-            self.take_ownership(item);
+            self.apply_ownership(item);
         }
         let key = keys::job(job);
         let kept = items
--- a/crates/stackpier-scheduler/src/keys.rs
+++ b/crates/stackpier-scheduler/src/keys.rs
@@ -22,8 +22,8 @@
 pub(crate) const MAINTENANCE: &str = "maintenance";
 /// CANCEL ends the key of a job's cancelling.
 const CANCEL: &str = "/cancel";
-/// HEX is the radix of a job's id in a key.
-const HEX: u32 = 16;
+/// ID_RADIX is the radix of a job's id in a key.
+const ID_RADIX: u32 = 16;
 
 /// Ownership is the value under [`OWNER`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -94,7 +94,7 @@
 /// entry reads a key under [`JOBS`].
 pub(crate) fn entry(key: &str) -> Option<Entry> {
     let rest = key.strip_prefix(JOBS)?;
-    let parse = |hex: &str| u64::from_str_radix(hex, HEX).ok().map(key::Job);
+    let parse = |hex: &str| u64::from_str_radix(hex, ID_RADIX).ok().map(key::Job);
     match rest.strip_suffix(CANCEL) {
         Some(hex) => parse(hex).map(Entry::Cancel),
         None => parse(rest).map(Entry::Job),
@@ -104,5 +104,5 @@
 /// progress_of reads a key under [`PROGRESS`].
 pub(crate) fn progress_of(key: &str) -> Option<key::Job> {
     let hex = key.strip_prefix(PROGRESS)?;
-    u64::from_str_radix(hex, HEX).ok().map(key::Job)
+    u64::from_str_radix(hex, ID_RADIX).ok().map(key::Job)
 }
--- a/crates/stackpier-scheduler/src/loading.rs
+++ b/crates/stackpier-scheduler/src/loading.rs
@@ -11,14 +11,14 @@
 use crate::{
     Platform,
     following::{Jobs, Workers},
-    handover::Earlier,
+    handover::Predecessor,
     jobs::Source,
     keys::{self, JOBS, MAINTENANCE, MEMORY, PROGRESS, ROSTER},
     node::{Node, Owned, pause},
     owner::{Owner, tick},
-    saving::{Revisions, names},
+    saving::{Revisions, describe_roster},
     store::{Item, Listing},
-    watch::{Feed, Follower, follow},
+    watch::{Follower, Update, follow},
 };
 
 /// LOAD_RETRY_MS is the pause before loading is tried again.
@@ -40,7 +40,7 @@
 
 impl<P: Platform> Node<P> {
     /// load reads the cell from the store and begins to schedule it.
-    pub(crate) async fn load(&self, owned: Owned, earlier: Earlier) {
+    pub(crate) async fn load(&self, owned: Owned, predecessor: Predecessor) {
         let fence = owned.ownership.fence;
         self.loading.set(true);
         let loaded = self.read_cell(fence).await;
@@ -52,14 +52,14 @@
             "owns the cell with fence {fence}: {} jobs, {} workers listed, predecessor may act: {}",
             loaded.progress.items.len(),
             loaded.workers.items.len(),
-            earlier.may_act
+            predecessor.may_act
         );
         self.say("owner", &text);
         self.metrics.ownerships.add(1, &[]);
-        self.install(owned, &earlier, loaded);
-        if let Some(address) = earlier.address {
+        self.install(owned, &predecessor, loaded);
+        if let Some(address) = predecessor.address {
             let node = self.clone();
-            tokio::task::spawn_local(async move { node.ask_earlier(fence, &address).await });
+            tokio::task::spawn_local(async move { node.query_predecessor(fence, &address).await });
         }
     }
 
@@ -118,11 +118,11 @@
 
     /// install puts the cell in its place and begins to follow its jobs and
     /// workers.
-    fn install(&self, owned: Owned, earlier: &Earlier, loaded: Loaded) {
+    fn install(&self, owned: Owned, predecessor: &Predecessor, loaded: Loaded) {
         let fence = owned.ownership.fence;
         let mut revisions = Revisions::default();
-        let mut cell = Cell::new(self.settings.cell, fence, self.now(), earlier.may_act);
-        if earlier.address.is_some() {
+        let mut cell = Cell::new(self.settings.cell, fence, self.now(), predecessor.may_act);
+        if predecessor.address.is_some() {
             cell.await_handover();
         }
         // Reading may have taken seconds, in which a later owner may have come.
@@ -163,22 +163,25 @@
     fn restore(&self, cell: &mut Cell, revisions: &mut Revisions, loaded: &Loaded) {
         if let Some(item) = &loaded.roster {
             revisions.set(ROSTER, item.revision);
-            match self.readable::<Vec<RosterEntry>>(None, "the roster", &item.value) {
+            match self.decode_or_log::<Vec<RosterEntry>>(None, "the roster", &item.value) {
                 Some(entries) => self.restore_roster(cell, &entries),
                 None => cell.set_roster_unknown(),
             }
         }
         if let Some(item) = &loaded.memory {
             revisions.set(MEMORY, item.revision);
-            let memory = self.readable::<ModelSnapshot>(None, "what was learnt", &item.value);
+            let memory = self.decode_or_log::<ModelSnapshot>(None, "what was learnt", &item.value);
             if let Some(memory) = memory {
                 cell.restore_model(&memory);
             }
         }
         if let Some(item) = &loaded.maintenance {
             revisions.set(MAINTENANCE, item.revision);
-            let records =
-                self.readable::<Vec<maintenance::Record>>(None, "what was taken down", &item.value);
+            let records = self.decode_or_log::<Vec<maintenance::Record>>(
+                None,
+                "what was taken down",
+                &item.value,
+            );
             if let Some(records) = records {
                 cell.resume_maintenance(records);
             }
@@ -186,14 +189,17 @@
     }
 
     fn restore_roster(&self, cell: &mut Cell, entries: &[RosterEntry]) {
-        let text = format!("workers to wait for, by the roster: {}", names(entries));
+        let text = format!(
+            "workers to wait for, by the roster: {}",
+            describe_roster(entries)
+        );
         self.say("owner", &text);
         entries.iter().for_each(|entry| cell.add_roster(entry));
     }
 
-    /// readable decodes a value that an owner or a daemon wrote, and logs it if
+    /// decode_or_log decodes a value that an owner or a daemon wrote, and logs it if
     /// that fails.
-    pub(crate) fn readable<T: DeserializeOwned>(
+    pub(crate) fn decode_or_log<T: DeserializeOwned>(
         &self,
         subject: Option<String>,
         what: &str,
@@ -214,14 +220,14 @@
     fn start_followers(
         &self,
         mut jobs: Jobs<P>,
-        kept: Listing,
+        accepted: Listing,
         mut workers: Workers<P>,
         listed: Listing,
     ) {
-        jobs.take(Feed::All(kept.items));
+        jobs.apply(Update::All(accepted.items));
         jobs.source = Source::Watch;
-        workers.take(Feed::All(listed.items));
-        tokio::task::spawn_local(follow(self.clone(), jobs, Some(kept.at)));
+        workers.apply(Update::All(listed.items));
+        tokio::task::spawn_local(follow(self.clone(), jobs, Some(accepted.at)));
         tokio::task::spawn_local(follow(self.clone(), workers, Some(listed.at)));
     }
 }
--- a/crates/stackpier-scheduler/src/log.rs
+++ b/crates/stackpier-scheduler/src/log.rs
@@ -8,17 +8,17 @@
 use slog::{Drain, Logger, o};
 use stackpier_core::Millis;
 
-/// CHANNEL is how many lines may wait to be written; more are dropped and
+/// CHANNEL_LINES is how many lines may wait to be written; more are dropped and
 /// counted in a line of their own.
-const CHANNEL: usize = 4_096;
-/// MOST_PER_S is how many lines a part may write in a second on a large VM.
-const MOST_PER_S: u32 = 400;
-/// PER_CORE is how many lines a part may write in a second on a VM with one core: a VM of
+const CHANNEL_LINES: usize = 4_096;
+/// MAX_LINES_PER_S is how many lines a part may write in a second on a large VM.
+const MAX_LINES_PER_S: u32 = 400;
+/// LINES_PER_S_PER_CORE is how many lines a part may write in a second on a VM with one core: a VM of
 /// 0.25 cores writes what the largest do. If a line takes 10 microseconds, which was not
 /// measured, a part takes 1.6% of the processor at most.
-const PER_CORE: u32 = 1_600;
-/// CORE is the number of thousandths in a core.
-const CORE: u32 = 1_000;
+const LINES_PER_S_PER_CORE: u32 = 1_600;
+/// MILLI_PER_CORE is the number of thousandths in a core.
+const MILLI_PER_CORE: u32 = 1_000;
 /// WINDOW_MS is the time over which lines are counted.
 const WINDOW_MS: u64 = 1_000;
 
@@ -27,13 +27,13 @@
 pub fn logger(vm: &str) -> (Logger, slog_async::AsyncGuard) {
     let drain = Mutex::new(slog_json::Json::default(std::io::stdout())).fuse();
     let (core, guard) = slog_async::AsyncCore::custom(drain)
-        .chan_size(CHANNEL)
+        .chan_size(CHANNEL_LINES)
         .build_with_guard();
     (Logger::root(core.fuse(), o!("vm" => vm.to_owned())), guard)
 }
 
-/// Limit bounds the lines of each part.
-pub struct Limit {
+/// RateLimit bounds the lines of each part.
+pub struct RateLimit {
     lines_per_s: u32,
     parts: RefCell<HashMap<&'static str, Window>>,
 }
@@ -42,35 +42,36 @@
 struct Window {
     start: Millis,
     lines: u32,
-    left_out: u32,
+    omitted: u32,
 }
 
-/// Verdict tells whether a line may be written.
+/// Admission tells whether a line may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// It may; so many lines of the part were left out before it.
     Write(u32),
     /// It is left out.
     Omit,
 }
 
-impl Limit {
+impl RateLimit {
     /// new bounds the lines by the VM's processor, in thousandths of a core.
-    pub fn new(milli_cores: u32) -> Limit {
-        let lines_per_s = u64::from(PER_CORE) * u64::from(milli_cores) / u64::from(CORE);
-        Limit {
-            lines_per_s: lines_per_s.clamp(1, u64::from(MOST_PER_S)) as u32,
+    pub fn new(milli_cores: u32) -> RateLimit {
+        let lines_per_s =
+            u64::from(LINES_PER_S_PER_CORE) * u64::from(milli_cores) / u64::from(MILLI_PER_CORE);
+        RateLimit {
+            lines_per_s: lines_per_s.clamp(1, u64::from(MAX_LINES_PER_S)) as u32,
             parts: RefCell::default(),
         }
     }
 
     /// check counts a line of a part.
-    pub fn check(&self, now: Millis, part: &'static str) -> Verdict {
+    pub fn check(&self, now: Millis, part: &'static str) -> Admission {
         let mut parts = self.parts.borrow_mut();
         let window = parts.entry(part).or_default();
-        let mut left_out = 0;
+        let mut omitted = 0;
         if now.since(window.start) >= WINDOW_MS {
-            left_out = window.left_out;
+            omitted = window.omitted;
             *window = Window {
                 start: now,
                 ..Window::default()
@@ -78,9 +79,9 @@
         }
         window.lines += 1;
         if window.lines > self.lines_per_s {
-            window.left_out += 1;
-            return Verdict::Omit;
+            window.omitted += 1;
+            return Admission::Omit;
         }
-        Verdict::Write(left_out)
+        Admission::Write(omitted)
     }
 }
--- a/crates/stackpier-scheduler/src/member.rs
+++ b/crates/stackpier-scheduler/src/member.rs
@@ -15,7 +15,7 @@
 use crate::{
     Platform,
     cluster::Cluster,
-    handover::Earlier,
+    handover::Predecessor,
     keys::{self, Member, OWNER, Ownership},
     link::{Alive, Heartbeat, Request, Response},
     node::{Node, Owned, Registered, pause},
@@ -25,42 +25,42 @@
 
 /// HEARTBEAT_MS is the time between two heartbeats.
 const HEARTBEAT_MS: u64 = 250;
-/// WATCHERS is how many daemons, those that would take over first, send a heartbeat each
+/// FREQUENT_FOLLOWERS is how many daemons, those that would take over first, send a heartbeat each
 /// time. The others' would be of no use sooner: they wait for seconds before they take
 /// over. 96 followers on one interval send 390 heartbeats a second; without most of them,
 /// and with fewer log lines, an owner of 0.12 cores served 0.66 instead of 0.51 of a day.
-const WATCHERS: u64 = 8;
-/// SELDOM_MS is the time between two heartbeats of the others. They also bring the newest
+const FREQUENT_FOLLOWERS: u64 = 8;
+/// SLOW_HEARTBEAT_MS is the time between two heartbeats of the others. They also bring the newest
 /// configuration to a daemon without the store.
-const SELDOM_MS: u64 = 1_500;
-/// HEARTBEAT_LIMIT bounds the wait for a heartbeat's answer.
-const HEARTBEAT_LIMIT: Duration = Duration::from_millis(400);
+const SLOW_HEARTBEAT_MS: u64 = 1_500;
+/// HEARTBEAT_TIMEOUT bounds the wait for a heartbeat's answer.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
 /// SILENT_MS is how long the owner may be silent before a take-over: three
 /// heartbeats and a little. A configuration that comes over a slow link takes longer, see
-/// [`Monitor::patience_ms`].
+/// [`Monitor::silence_limit_ms`].
 const SILENT_MS: u64 = 900;
 /// CELL_BYTES is what the store keeps of a cell of today's users, which a new owner reads
 /// before it can do anything.
 const CELL_BYTES: u64 = 384 * 1024;
-/// BITS is the number of bits that a byte of the store's answers takes: four thirds of
+/// WIRE_BITS_PER_BYTE is the number of bits that a byte of the store's answers takes: four thirds of
 /// eight in base64, and a tenth for heads.
-const BITS: u64 = 12;
+const WIRE_BITS_PER_BYTE: u64 = 12;
 /// STORELESS_MS is how long the owner may be without the store, while this
 /// daemon has it, before a take-over.
 const STORELESS_MS: u64 = 1_000;
 /// RANK_MS is how much longer each daemon waits than the one before it.
 const RANK_MS: u64 = 250;
-/// VOTE_LIMIT bounds the wait for another daemon's word on the owner.
-const VOTE_LIMIT: Duration = Duration::from_millis(150);
+/// VOTE_TIMEOUT bounds the wait for another daemon's word on the owner.
+const VOTE_TIMEOUT: Duration = Duration::from_millis(150);
 /// REGISTER_RETRY_MS is the pause before registering is tried again.
 const REGISTER_RETRY_MS: u64 = 200;
 /// PROBE_MS is the time between two cheap reads that tell whether the store
 /// answers.
 const PROBE_MS: u64 = 400;
 
-/// Doubt is why a daemon would take over, and since when.
+/// Suspicion is why a daemon would take over, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doubt {
+enum Suspicion {
     /// Nobody owns the cell, or its owner gave it up or was restarted: it
     /// orders nothing any more.
     Vacant,
@@ -73,7 +73,7 @@
 /// Monitor sends heartbeats and takes over when it has to.
 struct Monitor<P> {
     node: Node<P>,
-    doubt: Option<(Doubt, Millis)>,
+    suspicion: Option<(Suspicion, Millis)>,
     /// When the last heartbeat was sent.
     sent: Millis,
     /// The fence of the owner that last answered.
@@ -89,7 +89,7 @@
     tokio::task::spawn_local(probe(node.clone()));
     let mut monitor = Monitor {
         node: node.clone(),
-        doubt: None,
+        suspicion: None,
         sent: Millis(0),
         answered: 0,
         storeless_since: None,
@@ -97,7 +97,7 @@
     loop {
         pause(HEARTBEAT_MS).await;
         if !node.stopping.get() {
-            monitor.turn().await;
+            monitor.check_and_take_over().await;
         }
     }
 }
@@ -153,14 +153,15 @@
         }
     }
 
-    /// heard_owner tells whether the owner with this fence was heard lately.
-    pub(crate) fn heard_owner(&self, fence: u64) -> bool {
+    /// has_owner_contact tells whether the owner with this fence was heard lately.
+    pub(crate) fn has_owner_contact(&self, fence: u64) -> bool {
         let known = self
             .owned
             .borrow()
             .as_ref()
             .map_or(0, |owned| owned.ownership.fence);
-        known > fence || known == fence && self.mono().since(self.heard.get()) < SILENT_MS / 2
+        known > fence
+            || known == fence && self.mono().since(self.last_contact.get()) < SILENT_MS / 2
     }
 
     /// unloaded returns the ownership if the store shows it as this daemon's and
@@ -176,86 +177,88 @@
 }
 
 impl<P: Platform> Monitor<P> {
-    async fn turn(&mut self) {
+    async fn check_and_take_over(&mut self) {
         self.node.size_relays();
         if let Some(own) = self.node.unloaded() {
-            let earlier = Earlier {
+            let predecessor = Predecessor {
                 may_act: true,
                 address: None,
             };
-            self.node.load(own, earlier).await;
+            self.node.load(own, predecessor).await;
             return;
         }
         let owned = self.node.owned.borrow().clone();
         let now = self.node.mono();
-        let doubt = match &owned {
+        let suspicion = match &owned {
             _ if self.node.members.borrow().is_empty() => None,
-            None => Some(Doubt::Vacant),
+            None => Some(Suspicion::Vacant),
             Some(owned) => self.check(owned).await,
         };
-        self.doubt = match (doubt, self.doubt) {
+        self.suspicion = match (suspicion, self.suspicion) {
             (Some(new), Some((old, since))) if new == old => Some((old, since)),
             (Some(new), _) => Some((new, now)),
             (None, _) => None,
         };
-        let Some((doubt, since)) = self.doubt else {
+        let Some((suspicion, since)) = self.suspicion else {
             return;
         };
         let delay = self.rank(owned.as_ref()) * RANK_MS;
         if self.node.mono().since(since) >= delay && self.node.store_answers() {
-            self.take_over(doubt, owned).await;
+            self.take_over(suspicion, owned).await;
         }
     }
 
     /// check tells whether something speaks against the owner.
-    async fn check(&mut self, owned: &Owned) -> Option<Doubt> {
+    async fn check(&mut self, owned: &Owned) -> Option<Suspicion> {
         let ownership = &owned.ownership;
         if ownership.boot == self.node.boot {
-            return ownership.released.then_some(Doubt::Vacant);
+            return ownership.released.then_some(Suspicion::Vacant);
         }
-        if ownership.released || self.is_over(owned) {
-            return Some(Doubt::Vacant);
+        if ownership.released || self.is_owner_gone(owned) {
+            return Some(Suspicion::Vacant);
         }
-        if !self.is_due(owned) {
+        if !self.is_heartbeat_due(owned) {
             return None;
         }
         self.sent = self.node.mono();
         match self.heartbeat(ownership).await {
             Some(alive) if alive.owner => {
                 let now = self.node.mono();
-                self.node.heard.set(now);
+                self.node.last_contact.set(now);
                 self.answered = ownership.fence;
                 self.check_store(alive, now)
             }
-            _ => self.is_silent().then_some(Doubt::Silent),
+            _ => self.is_silent().then_some(Suspicion::Silent),
         }
     }
 
-    /// is_over tells whether the owner's process has ended: another one has registered on its
+    /// is_owner_gone tells whether the owner's process has ended: another one has registered on its
     /// VM since. An entry that is older than the ownership tells nothing, as news of the two
     /// come by different ways.
-    fn is_over(&self, owned: &Owned) -> bool {
+    fn is_owner_gone(&self, owned: &Owned) -> bool {
         let members = self.node.members.borrow();
         let entry = members.get(&owned.ownership.vm);
         let restarted = |entry: &Registered| entry.member.boot != owned.ownership.boot;
         entry.is_some_and(|entry| entry.revision > owned.revision && restarted(entry))
     }
 
-    /// is_due tells whether to send a heartbeat now.
-    fn is_due(&self, owned: &Owned) -> bool {
+    /// is_heartbeat_due tells whether to send a heartbeat now.
+    fn is_heartbeat_due(&self, owned: &Owned) -> bool {
         let waited_ms = self.node.mono().since(self.sent);
-        self.doubt.is_some() || waited_ms >= SELDOM_MS || self.rank(Some(owned)) < WATCHERS
+        self.suspicion.is_some()
+            || waited_ms >= SLOW_HEARTBEAT_MS
+            || self.rank(Some(owned)) < FREQUENT_FOLLOWERS
     }
 
     fn is_silent(&self) -> bool {
-        self.node.mono().since(self.node.heard.get()) >= self.patience_ms()
+        self.node.mono().since(self.node.last_contact.get()) >= self.silence_limit_ms()
     }
 
-    /// patience_ms returns for how long the owner may be silent. A new configuration comes
+    /// silence_limit_ms returns for how long the owner may be silent. A new configuration comes
     /// to all daemons at once and is held up by nothing, so an owner on a slow link is
     /// silent while its own comes: for one second with 256 KB on 2 Mbit/s. A take-over
     /// would bring another owner that waits as long, and cost all the same.
-    fn patience_ms(&self) -> u64 {
+    fn silence_limit_ms(&self) -> u64 {
         let config = self.node.config_item.borrow();
         let bytes = config.as_ref().map_or(0, |item| item.value.len() as u64);
         let owned = self.node.owned.borrow();
@@ -267,7 +270,7 @@
             .as_ref()
             .is_some_and(|owned| !self.has_answered(owned));
         let bytes = if new { bytes.max(CELL_BYTES) } else { bytes };
-        SILENT_MS + bytes * BITS / kbps
+        SILENT_MS + bytes * WIRE_BITS_PER_BYTE / kbps
     }
 
     /// has_answered tells whether the owner has answered since it took the cell over.
@@ -275,14 +278,14 @@
         self.answered == owned.ownership.fence
     }
 
-    fn check_store(&mut self, alive: Alive, now: Millis) -> Option<Doubt> {
+    fn check_store(&mut self, alive: Alive, now: Millis) -> Option<Suspicion> {
         if alive.store || !self.node.store_answers() {
             self.storeless_since = None;
             return None;
         }
         let since = *self.storeless_since.get_or_insert(now);
-        let replaced = !self.is_without(Mechanism::Storeless);
-        (replaced && now.since(since) >= STORELESS_MS).then_some(Doubt::Storeless)
+        let replaced = !self.is_disabled(Mechanism::Storeless);
+        (replaced && now.since(since) >= STORELESS_MS).then_some(Suspicion::Storeless)
     }
 
     async fn heartbeat(&self, ownership: &Ownership) -> Option<Alive> {
@@ -295,7 +298,7 @@
         let answer = self
             .node
             .links
-            .call(&ownership.address, &request, HEARTBEAT_LIMIT)
+            .call(&ownership.address, &request, HEARTBEAT_TIMEOUT)
             .await;
         match answer {
             Ok(Response::Alive(alive)) if alive.boot == ownership.boot => {
@@ -333,28 +336,28 @@
     }
 
     /// take_over tries to own the cell, unless others still hear its owner.
-    async fn take_over(&mut self, doubt: Doubt, owned: Option<Owned>) {
+    async fn take_over(&mut self, suspicion: Suspicion, owned: Option<Owned>) {
         let fence = owned.as_ref().map_or(0, |owned| owned.ownership.fence);
-        let asks = doubt == Doubt::Silent && !self.is_without(Mechanism::Votes);
-        if asks && self.is_heard(&owned, fence).await {
-            self.doubt = None;
-            self.node.heard.set(self.node.mono());
+        let needs_votes = suspicion == Suspicion::Silent && !self.is_disabled(Mechanism::Votes);
+        if needs_votes && self.is_reachable_by_others(&owned, fence).await {
+            self.suspicion = None;
+            self.node.last_contact.set(self.node.mono());
             return;
         }
         let text = format!(
-            "taking over: owner is {doubt:?}, last heard {} ms ago",
-            self.node.mono().since(self.node.heard.get())
+            "taking over: owner is {suspicion:?}, last heard {} ms ago",
+            self.node.mono().since(self.node.last_contact.get())
         );
         self.node.say("member", &text);
-        self.doubt = None;
-        self.swap(doubt, owned, fence).await;
+        self.suspicion = None;
+        self.swap(suspicion, owned, fence).await;
     }
 
-    fn is_without(&self, mechanism: Mechanism) -> bool {
+    fn is_disabled(&self, mechanism: Mechanism) -> bool {
         self.node.settings.cell.without.contains(mechanism)
     }
 
-    async fn is_heard(&self, owned: &Option<Owned>, fence: u64) -> bool {
+    async fn is_reachable_by_others(&self, owned: &Option<Owned>, fence: u64) -> bool {
         let own = &self.node.settings.vm;
         let owner = owned.as_ref().map(|owned| owned.ownership.vm.clone());
         let members = self.node.members.borrow().clone();
@@ -367,34 +370,34 @@
                 let node = self.node.clone();
                 tokio::task::spawn_local(async move {
                     let request = Request::Heard(fence);
-                    let asked = node.links.call(&member.address, &request, VOTE_LIMIT);
+                    let asked = node.links.call(&member.address, &request, VOTE_TIMEOUT);
                     matches!(asked.await, Ok(Response::Flag(true)))
                 })
             })
             .collect();
-        let mut heard = false;
+        let mut reachable = false;
         for answer in asked {
-            heard |= answer.await.unwrap_or(false);
+            reachable |= answer.await.unwrap_or(false);
         }
-        heard
+        reachable
     }
 
     /// swap changes the ownership in the store, if nobody else did.
-    async fn swap(&mut self, doubt: Doubt, owned: Option<Owned>, fence: u64) {
+    async fn swap(&mut self, suspicion: Suspicion, owned: Option<Owned>, fence: u64) {
         let revision = owned.as_ref().map_or(0, |owned| owned.revision);
         let Some(item) = self.write_ownership(revision, fence + 1).await else {
             return;
         };
-        self.node.take_ownership(&item);
+        self.node.apply_ownership(&item);
         let won = self.node.owned.borrow().clone();
         let boot = self.node.boot;
         let own = |won: &Owned| won.ownership.boot == boot && !won.ownership.released;
         if let Some(won) = won.filter(own) {
-            let earlier = Earlier {
-                may_act: doubt != Doubt::Vacant,
+            let predecessor = Predecessor {
+                may_act: suspicion != Suspicion::Vacant,
                 address: owned.map(|owned| owned.ownership.address),
             };
-            self.node.load(won, earlier).await;
+            self.node.load(won, predecessor).await;
         }
     }
 
@@ -410,7 +413,7 @@
         };
         let value = encode(&ownership).expect("an ownership is encoded");
         let transaction = Transaction::swap(OWNER, revision, value.clone());
-        self.node.note_swap(fence);
+        self.node.record_swap(fence);
         match self.node.store_commit(&transaction).await {
             Committed::Done(revision) => Some(Item {
                 key: OWNER.to_owned(),
--- a/crates/stackpier-scheduler/src/node.rs
+++ b/crates/stackpier-scheduler/src/node.rs
@@ -21,7 +21,7 @@
     catalog::Config,
     keys::{Member, Ownership},
     link::Links,
-    log::{Limit, Verdict},
+    log::{Admission, RateLimit},
     metrics::{Metrics, labels},
     owner::Owner,
     relay::Relays,
@@ -65,7 +65,7 @@
     pub(crate) platform: P,
     pub(crate) boot: Boot,
     pub(crate) log: Logger,
-    pub(crate) limit: Limit,
+    pub(crate) limit: RateLimit,
     pub(crate) metrics: Metrics,
     pub(crate) links: Links,
     pub(crate) relays: Relays,
@@ -88,11 +88,11 @@
     pub(crate) outdated: Slot<u64>,
     pub(crate) store: StoreHealth,
     /// When the owner was last heard.
-    pub(crate) heard: Slot<Millis>,
+    pub(crate) last_contact: Slot<Millis>,
     pub(crate) stopping: Slot<bool>,
     /// When this daemon ends, once it was told to stop.
     pub(crate) ends_at: Slot<Option<Millis>>,
-    pub(crate) busy: Slot<usize>,
+    pub(crate) open_requests: Slot<usize>,
     clock: Steady,
 }
 
@@ -124,7 +124,7 @@
 impl<P: Platform> Node<P> {
     /// new builds the state of a daemon that has just started.
     pub fn new(settings: Settings, platform: P, log: Logger) -> anyhow::Result<Node<P>> {
-        let limit = Limit::new(settings.milli_cores);
+        let limit = RateLimit::new(settings.milli_cores);
         let inner = Inner {
             settings,
             platform,
@@ -145,10 +145,10 @@
             loading: Slot::default(),
             outdated: Slot::default(),
             store: StoreHealth::default(),
-            heard: Slot::default(),
+            last_contact: Slot::default(),
             stopping: Slot::default(),
             ends_at: Slot::default(),
-            busy: Slot::default(),
+            open_requests: Slot::default(),
             clock: Steady::new(Uptime),
         };
         Ok(Node {
@@ -170,8 +170,8 @@
         self.clock.now()
     }
 
-    /// note_swap notes that the ownership is about to be swapped.
-    pub(crate) fn note_swap(&self, fence: u64) {
+    /// record_swap notes that the ownership is about to be swapped.
+    pub(crate) fn record_swap(&self, fence: u64) {
         if self.swap.get().fence != fence {
             let sent = self.mono();
             self.swap.set(Swap { fence, sent });
@@ -197,13 +197,10 @@
     /// say_of writes a log line about a job, task or other subject.
     pub(crate) fn say_of(&self, part: &'static str, subject: Option<String>, text: &str) {
         match self.limit.check(self.mono(), part) {
-            Verdict::Omit => {}
-            Verdict::Write(left_out) => {
-                if left_out > 0 {
-                    warn!(
-                        self.log,
-                        "log: {} lines of part {} left out", left_out, part
-                    );
+            Admission::Omit => {}
+            Admission::Write(omitted) => {
+                if omitted > 0 {
+                    warn!(self.log, "log: {} lines of part {} left out", omitted, part);
                 }
                 let subject = subject.unwrap_or_default();
                 info!(self.log, "{}: {}", part, text; "subject" => subject, "at_ms" => self.mono().0);
@@ -228,18 +225,20 @@
         self.owner.borrow().is_some()
     }
 
-    fn store_result<T>(&self, call: &'static str, result: Result<T>) -> Result<T> {
+    fn record_store_result<T>(&self, call: &'static str, result: Result<T>) -> Result<T> {
         let outcome = if result.is_ok() { "answered" } else { "failed" };
         self.metrics.store_calls.add(1, &labels(call, outcome));
         match &result {
-            Ok(_) => self.store_answered(),
-            Err(error) if error.kind == Kind::Unreachable => self.store_late(call, &error.message),
-            Err(error) => self.store_failed(call, &error.message),
+            Ok(_) => self.record_store_answer(),
+            Err(error) if error.kind == Kind::Unreachable => {
+                self.record_store_timeout(call, &error.message)
+            }
+            Err(error) => self.record_store_failure(call, &error.message),
         }
         result
     }
 
-    fn store_answered(&self) {
+    fn record_store_answer(&self) {
         self.store.answered.set(self.mono());
         if self.store.lost.replace(false) {
             self.say("store", "the store answers again");
@@ -247,18 +246,18 @@
         }
     }
 
-    /// store_late takes in that a call was not answered in time. One that waited behind a long
+    /// record_store_timeout takes in that a call was not answered in time. One that waited behind a long
     /// answer on the link does not show that the store is away: what is sent anew then begins
     /// from the beginning, and a large configuration never comes over a slow link.
-    fn store_late(&self, call: &'static str, why: &str) {
+    fn record_store_timeout(&self, call: &'static str, why: &str) {
         if self.platform.is_coming() {
             self.store.answered.set(self.mono());
         } else {
-            self.store_failed(call, why);
+            self.record_store_failure(call, why);
         }
     }
 
-    fn store_failed(&self, call: &'static str, why: &str) {
+    fn record_store_failure(&self, call: &'static str, why: &str) {
         self.store.failed.set(self.mono());
         if !self.store.lost.replace(true) {
             let since = self.mono().since(self.store.answered.get());
@@ -267,24 +266,24 @@
         }
     }
 
-    /// store_regained waits until the store answers again after a failure.
-    pub(crate) async fn store_regained(&self) {
+    /// wait_for_store waits until the store answers again after a failure.
+    pub(crate) async fn wait_for_store(&self) {
         self.store.regained.notified().await;
     }
 
     pub(crate) async fn store_get(&self, key: &str) -> Result<Option<Item>> {
         let result = self.platform.get(key).await;
-        self.store_result("get", result)
+        self.record_store_result("get", result)
     }
 
     pub(crate) async fn store_probe(&self, key: &str) -> Result<()> {
         let result = self.platform.probe(key).await;
-        self.store_result("probe", result)
+        self.record_store_result("probe", result)
     }
 
     pub(crate) async fn store_list(&self, prefix: &str) -> Result<Listing> {
         let result = self.platform.list(prefix).await;
-        self.store_result("list", result)
+        self.record_store_result("list", result)
     }
 
     pub(crate) async fn store_watch(
@@ -294,7 +293,7 @@
         wait_ms: u64,
     ) -> Result<Watched> {
         let result = self.platform.watch(prefix, after, wait_ms).await;
-        self.store_result("watch", result)
+        self.record_store_result("watch", result)
     }
 
     pub(crate) async fn store_commit(&self, transaction: &Transaction) -> Committed {
@@ -307,9 +306,9 @@
         };
         self.metrics.store_calls.add(1, &labels("commit", outcome));
         match committed {
-            Committed::Done(_) | Committed::Conflict(_) => self.store_answered(),
-            Committed::Refused => self.store_failed("commit", outcome),
-            Committed::Unknown => self.store_late("commit", outcome),
+            Committed::Done(_) | Committed::Conflict(_) => self.record_store_answer(),
+            Committed::Refused => self.record_store_failure("commit", outcome),
+            Committed::Unknown => self.record_store_timeout("commit", outcome),
         }
         committed
     }
@@ -320,27 +319,27 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Served is a request that is being answered.
+/// OpenRequest is a request that is being answered.
 #[derive(Clone, Copy, Debug)]
-pub struct Served {
+pub struct OpenRequest {
     start: Millis,
 }
 
 impl<P: Platform> Node<P> {
     /// begin counts a request that came in.
-    pub fn begin(&self) -> Served {
-        self.busy.set(self.busy.get() + 1);
-        Served { start: self.mono() }
+    pub fn begin(&self) -> OpenRequest {
+        self.open_requests.set(self.open_requests.get() + 1);
+        OpenRequest { start: self.mono() }
     }
 
     /// finish logs and counts the answer to a request.
-    pub fn finish(&self, served: Served, asked: &str, status: u16, why: &str) {
-        self.busy.set(self.busy.get() - 1);
-        let took_ms = self.mono().since(served.start);
+    pub fn finish(&self, open_request: OpenRequest, request: &str, status: u16, why: &str) {
+        self.open_requests.set(self.open_requests.get() - 1);
+        let took_ms = self.mono().since(open_request.start);
         self.metrics.latency.record(took_ms as f64 / 1_000.0, &[]);
         let status_label = opentelemetry::KeyValue::new("status", i64::from(status));
         self.metrics.answers.add(1, &[status_label]);
         let text = format!("{status} after {took_ms} ms {why}");
-        self.say_of("request", Some(asked.to_owned()), &text);
+        self.say_of("request", Some(request.to_owned()), &text);
     }
 }
--- a/crates/stackpier-scheduler/src/owner.rs
+++ b/crates/stackpier-scheduler/src/owner.rs
@@ -71,13 +71,13 @@
             owner.cell.step(self.now(), event)
         };
         for effect in effects {
-            self.carry_out(fence, effect);
+            self.execute(fence, effect);
         }
     }
 
-    fn carry_out(&self, fence: u64, effect: Effect) {
+    fn execute(&self, fence: u64, effect: Effect) {
         match effect {
-            Effect::Log(note) => self.log_note(&note),
+            Effect::Log(entry) => self.log_entry(&entry),
             Effect::Deposed => self.depose(fence + 1, "a worker or the store knows a later fence"),
             Effect::Start(start) => self.spawn(move |node| node.send_start(fence, start)),
             Effect::Stop(stop) => self.spawn(move |node| node.send_stop(fence, stop)),
@@ -93,11 +93,11 @@
         }
     }
 
-    fn log_note(&self, note: &LogEntry) {
-        let part = KeyValue::new("part", note.part);
+    fn log_entry(&self, entry: &LogEntry) {
+        let part = KeyValue::new("part", entry.part);
         self.metrics.decisions.add(1, &[part]);
-        let subject = note.subject.map(|name| name.to_string());
-        self.say_of(note.part, subject, &note.text);
+        let subject = entry.subject.map(|name| name.to_string());
+        self.say_of(entry.part, subject, &entry.text);
     }
 
     fn spawn<F, R>(&self, task: F)
@@ -113,8 +113,8 @@
         let sent = self.mono();
         match self.store_get(OWNER).await {
             Ok(Some(item)) => {
-                self.take_ownership(&item);
-                self.confirm_by(fence, item.revision, sent);
+                self.apply_ownership(&item);
+                self.check_confirmation(fence, item.revision, sent);
             }
             Ok(None) => self.depose(fence + 1, "the store has no owner"),
             Err(_) => {
@@ -125,9 +125,9 @@
         }
     }
 
-    /// confirm_by takes in the revision of the ownership that the store showed when asked at
+    /// check_confirmation takes in the revision of the ownership that the store showed when asked at
     /// `sent`. One that this daemon did not write is another owner's, also if it can't be read.
-    fn confirm_by(&self, fence: u64, revision: u64, sent: Millis) {
+    fn check_confirmation(&self, fence: u64, revision: u64, sent: Millis) {
         let owner = self.owner.borrow();
         let own = owner
             .as_ref()
@@ -166,15 +166,15 @@
 pub(crate) async fn tick<P: Platform>(node: Node<P>, fence: u64) {
     while node.is_at(fence) {
         node.feed(fence, Event::Tick);
-        node.measure();
+        node.record_gauges();
         pause(TICK_MS).await;
     }
-    node.measure();
+    node.record_gauges();
 }
 
 impl<P: Platform> Node<P> {
-    /// measure records how full the cell is, zeros if another daemon owns it.
-    fn measure(&self) {
+    /// record_gauges records how full the cell is, zeros if another daemon owns it.
+    fn record_gauges(&self) {
         let owner = self.owner.borrow();
         let cell = owner.as_ref().map(|owner| &owner.cell);
         let of = |read: fn(&Cell) -> u64| cell.map_or(0, read);
--- a/crates/stackpier-scheduler/src/saving.rs
+++ b/crates/stackpier-scheduler/src/saving.rs
@@ -16,23 +16,23 @@
     store::{Committed, Condition, Item, Put, Transaction},
 };
 
-/// PUTS is how many keys go into one transaction: with a condition for each
+/// MAX_PUTS is how many keys go into one transaction: with a condition for each
 /// and one for the ownership they stay within 32 entries.
-const PUTS: usize = 15;
-/// AT_ONCE is how many transactions of a save are on their way at a time. Ends are noted
+const MAX_PUTS: usize = 15;
+/// MAX_CONCURRENT is how many transactions of a save are on their way at a time. Ends are noted
 /// only after their save and are listed again until then, so a save that takes long makes
 /// more work for a busy owner.
-const AT_ONCE: usize = 24;
-/// SLOW_MS is how long a save takes that is worth a log line.
-const SLOW_MS: u64 = 500;
-/// TRIES is how often an unclear write is sent before the save fails.
-const TRIES: usize = 3;
+const MAX_CONCURRENT: usize = 24;
+/// SLOW_SAVE_MS is how long a save takes that is worth a log line.
+const SLOW_SAVE_MS: u64 = 500;
+/// MAX_TRIES is how often an unclear write is sent before the save fails.
+const MAX_TRIES: usize = 3;
 /// RETRY_MS is the pause between two tries.
 const RETRY_MS: u64 = 60;
 
-/// NAMED is how many workers a log line names: all of a cell of today's smaller users, in a
+/// MAX_LISTED_WORKERS is how many workers a log line names: all of a cell of today's smaller users, in a
 /// kilobyte.
-const NAMED: usize = 64;
+const MAX_LISTED_WORKERS: usize = 64;
 
 /// Revisions are the last known revisions of the owner's keys.
 #[derive(Debug, Default)]
@@ -45,7 +45,7 @@
         self.keys.insert(key.to_owned(), revision);
     }
 
-    fn of(&self, key: &str) -> u64 {
+    fn revision_of(&self, key: &str) -> u64 {
         self.keys.get(key).copied().unwrap_or(0)
     }
 }
@@ -57,7 +57,7 @@
             return false;
         };
         let (puts, begun) = (self.puts(&save), self.mono());
-        for group in puts.chunks(PUTS * AT_ONCE) {
+        for group in puts.chunks(MAX_PUTS * MAX_CONCURRENT) {
             if !self.write_group(fence, revision, &revisions, group).await {
                 return false;
             }
@@ -69,7 +69,7 @@
 
     /// log_slow tells of a save that took long.
     fn log_slow(&self, keys: usize, took_ms: u64) {
-        if took_ms >= SLOW_MS {
+        if took_ms >= SLOW_SAVE_MS {
             self.say("save", &format!("a save of {keys} keys took {took_ms} ms"));
         }
     }
@@ -84,7 +84,7 @@
             }
         }
         if let Some(roster) = &save.roster {
-            let text = format!("the roster in the store has {}", names(roster));
+            let text = format!("the roster in the store has {}", describe_roster(roster));
             self.say("owner", &text);
         }
     }
@@ -98,14 +98,14 @@
         let rest = Record::trimmed();
         let puts = save.trimmed.iter().map(|job| put(keys::job(*job), &rest));
         let transaction = Transaction {
-            conditions: vec![owner_at(owned)],
+            conditions: vec![owner_condition(owned)],
             puts: puts.collect(),
             removals: Vec::new(),
         };
         match self.store_commit(&transaction).await {
             Committed::Done(_) => true,
             Committed::Conflict(items) => {
-                self.owned_by_other(fence, owned, &items);
+                self.depose_if_replaced(fence, owned, &items);
                 false
             }
             Committed::Refused | Committed::Unknown => false,
@@ -162,7 +162,7 @@
                 async move { node.write(fence, owned, &revisions, &chunk).await },
             )
         };
-        let writes: Vec<_> = group.chunks(PUTS).map(write).collect();
+        let writes: Vec<_> = group.chunks(MAX_PUTS).map(write).collect();
         let mut done = true;
         for write in writes {
             // One that panicked may have been done; the next save learns of it.
@@ -178,7 +178,7 @@
         revisions: &RefCell<Revisions>,
         puts: &[Put],
     ) -> bool {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             let transaction = transaction(owned, &revisions.borrow(), puts);
             match self.store_commit(&transaction).await {
                 Committed::Done(at) => {
@@ -187,10 +187,10 @@
                     return true;
                 }
                 Committed::Conflict(items) => {
-                    if self.owned_by_other(fence, owned, &items) {
+                    if self.depose_if_replaced(fence, owned, &items) {
                         return false;
                     }
-                    learn(&mut revisions.borrow_mut(), puts, &items);
+                    update_revisions(&mut revisions.borrow_mut(), puts, &items);
                 }
                 Committed::Refused => return false,
                 Committed::Unknown => pause(RETRY_MS).await,
@@ -199,15 +199,15 @@
         false
     }
 
-    /// owned_by_other tells whether a conflict shows another owner, and gives
+    /// depose_if_replaced tells whether a conflict shows another owner, and gives
     /// the cell up if it does.
-    fn owned_by_other(&self, fence: u64, owned: u64, items: &[Item]) -> bool {
+    fn depose_if_replaced(&self, fence: u64, owned: u64, items: &[Item]) -> bool {
         let owner = items.iter().find(|item| item.key == OWNER);
         if owner.is_some_and(|item| item.revision == owned) {
             return false;
         }
         if let Some(item) = owner {
-            self.take_ownership(item);
+            self.apply_ownership(item);
         }
         self.depose(fence + 1, "a save found another owner in the store");
         true
@@ -222,16 +222,16 @@
             removals.extend([keys::job(*job), keys::cancel(*job), keys::progress(*job)]);
         }
         // One entry is left for the condition on the ownership.
-        for chunk in removals.chunks(2 * PUTS) {
+        for chunk in removals.chunks(2 * MAX_PUTS) {
             let transaction = Transaction {
-                conditions: vec![owner_at(owned)],
+                conditions: vec![owner_condition(owned)],
                 puts: Vec::new(),
                 removals: chunk.to_vec(),
             };
             match self.store_commit(&transaction).await {
                 Committed::Done(_) => {}
                 Committed::Conflict(items) => {
-                    self.owned_by_other(fence, owned, &items);
+                    self.depose_if_replaced(fence, owned, &items);
                     return false;
                 }
                 Committed::Refused | Committed::Unknown => return false,
@@ -241,10 +241,10 @@
     }
 }
 
-/// names lists the ids of a roster's workers for the log, of a large one the first.
-pub(crate) fn names(roster: &[RosterEntry]) -> String {
+/// describe_roster lists the ids of a roster's workers for the log, of a large one the first.
+pub(crate) fn describe_roster(roster: &[RosterEntry]) -> String {
     let ids = roster.iter().map(|entry| entry.id.as_str());
-    let first: Vec<&str> = ids.take(NAMED).collect();
+    let first: Vec<&str> = ids.take(MAX_LISTED_WORKERS).collect();
     format!("{} workers: {}", roster.len(), first.join(" "))
 }
 
@@ -255,7 +255,7 @@
     }
 }
 
-fn owner_at(revision: u64) -> Condition {
+fn owner_condition(revision: u64) -> Condition {
     Condition {
         key: OWNER.to_owned(),
         revision,
@@ -265,9 +265,9 @@
 fn transaction(owned: u64, revisions: &Revisions, puts: &[Put]) -> Transaction {
     let condition = |put: &Put| Condition {
         key: put.key.clone(),
-        revision: revisions.of(&put.key),
+        revision: revisions.revision_of(&put.key),
     };
-    let mut conditions = vec![owner_at(owned)];
+    let mut conditions = vec![owner_condition(owned)];
     conditions.extend(puts.iter().map(condition));
     Transaction {
         conditions,
@@ -276,9 +276,9 @@
     }
 }
 
-/// learn takes the present revisions from a conflict: an earlier try whose
+/// update_revisions takes the present revisions from a conflict: an earlier try whose
 /// answer was lost has been done.
-fn learn(revisions: &mut Revisions, puts: &[Put], items: &[Item]) {
+fn update_revisions(revisions: &mut Revisions, puts: &[Put], items: &[Item]) {
     for put in puts {
         let present = items.iter().find(|item| item.key == put.key);
         revisions.set(&put.key, present.map_or(0, |item| item.revision));
--- a/crates/stackpier-scheduler/src/settings.rs
+++ b/crates/stackpier-scheduler/src/settings.rs
@@ -12,45 +12,45 @@
 };
 use stackpier_protocol::codec::from_json;
 
-/// LONGEST_LEASE_MS is the longest lease that is asked for, whatever workers
+/// MAX_LEASE_MS is the longest lease that is asked for, whatever workers
 /// would grant: the tasks of a worker that died silently wait this long.
-const LONGEST_LEASE_MS: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 /// AUTHORITY_GAP_MS is how much sooner than its leases an owner without the
 /// store gives up.
 const AUTHORITY_GAP_MS: u64 = 1_000;
-/// TURN_MARGIN_MS is added to the gap between the orders of two owners for one
+/// TAKE_DOWN_MARGIN_MS is added to the gap between the orders of two owners for one
 /// host: the last one of the earlier owner may be under way.
-const TURN_MARGIN_MS: u64 = 500;
-/// SENDING_MS is for how long the VM's link may be busy with starts that are on their
+const TAKE_DOWN_MARGIN_MS: u64 = 500;
+/// MAX_SENDING_MS is for how long the VM's link may be busy with starts that are on their
 /// way: well below the 400 ms after which a heartbeat counts as unanswered.
-const SENDING_MS: f64 = 150.0;
-/// WORKING_MS is the same for its processor.
-const WORKING_MS: f64 = 100.0;
-/// START_MS is the processor time of a start with its answer, on a whole core, in
+const MAX_SENDING_MS: f64 = 150.0;
+/// MAX_PROCESSING_MS is the same for its processor.
+const MAX_PROCESSING_MS: f64 = 100.0;
+/// START_PROCESSOR_MS is the processor time of a start with its answer, on a whole core, in
 /// milliseconds. Worked out: an owner of 540 workers takes 0.09 to 0.14 cores for some 3,300
 /// starts and looks a second, decisions included.
-const START_MS: f64 = 0.036;
-/// LOOK_MS is the same for a look at a worker.
-const LOOK_MS: f64 = 0.036;
-/// LOOK_BYTES is what a look takes of the link each way at most, in bytes: a report of
+const START_PROCESSOR_MS: f64 = 0.036;
+/// RENEWAL_PROCESSOR_MS is the same for a look at a worker.
+const RENEWAL_PROCESSOR_MS: f64 = 0.036;
+/// RENEWAL_BYTES is what a look takes of the link each way at most, in bytes: a report of
 /// eight runs.
-const LOOK_BYTES: f64 = 900.0;
+const RENEWAL_BYTES: f64 = 900.0;
 /// START_BYTES is what a start takes on the wire besides its payload, in bytes.
 const START_BYTES: f64 = 450.0;
 /// BYTES_PER_MS is how many bytes a millisecond a link of one Mbit/s carries.
 const BYTES_PER_MS: f64 = 125.0;
-/// KBPS is the number of kbit/s in one Mbit/s.
-const KBPS: f64 = 1_000.0;
-/// USUAL_MBPS is the link of a VM where the settings don't tell it.
-const USUAL_MBPS: f64 = 1_000.0;
-/// USUAL_BEAT_MS is the time between two writes of a worker's entry where the settings
+/// KBPS_PER_MBPS is the number of kbit/s in one Mbit/s.
+const KBPS_PER_MBPS: f64 = 1_000.0;
+/// DEFAULT_LINK_MBPS is the link of a VM where the settings don't tell it.
+const DEFAULT_LINK_MBPS: f64 = 1_000.0;
+/// DEFAULT_HEARTBEAT_MS is the time between two writes of a worker's entry where the settings
 /// don't tell it.
-const USUAL_BEAT_MS: u64 = 1_500;
-/// ENTRY_BEATS is for how many of these times the list may show a worker that has crashed:
+const DEFAULT_HEARTBEAT_MS: u64 = 1_500;
+/// ENTRY_HEARTBEATS is for how many of these times the list may show a worker that has crashed:
 /// its entry lapses after three, and the list takes less than one to reach the owner.
-const ENTRY_BEATS: u64 = 4;
-/// LONGEST_MS bounds every time in the settings.
-const LONGEST_MS: u64 = 600_000;
+const ENTRY_HEARTBEATS: u64 = 4;
+/// MAX_TIME_MS bounds every time in the settings.
+const MAX_TIME_MS: u64 = 600_000;
 
 /// Raw is the settings file as written.
 #[derive(Clone, Debug, Deserialize)]
@@ -131,8 +131,8 @@
 impl Costs {
     /// look_ms returns the same for a look at a worker.
     pub fn look_ms(&self) -> f64 {
-        let link_ms = LOOK_BYTES / (self.link_mbps * BYTES_PER_MS);
-        link_ms.max(LOOK_MS / self.cores)
+        let link_ms = RENEWAL_BYTES / (self.link_mbps * BYTES_PER_MS);
+        link_ms.max(RENEWAL_PROCESSOR_MS / self.cores)
     }
 
     /// start_ms returns for how long a start with a payload of some bytes keeps the link
@@ -140,7 +140,7 @@
     pub fn start_ms(&self, payload: usize) -> f64 {
         let bytes = payload as f64 + START_BYTES;
         let link_ms = bytes / (self.link_mbps * BYTES_PER_MS);
-        link_ms.max(START_MS / self.cores)
+        link_ms.max(START_PROCESSOR_MS / self.cores)
     }
 }
 
@@ -166,18 +166,18 @@
         let longest = within(
             "longest_lease_ms",
             raw.longest_lease_ms,
-            1_000..=LONGEST_MS,
+            1_000..=MAX_TIME_MS,
             "ms",
         )?;
-        let lease_ms = longest.min(LONGEST_LEASE_MS);
-        let shown_s = within("shown_s", raw.shown_s, 1..=LONGEST_MS / 1_000, "s")?;
+        let lease_ms = longest.min(MAX_LEASE_MS);
+        let shown_s = within("shown_s", raw.shown_s, 1..=MAX_TIME_MS / 1_000, "s")?;
         let grace_s = within("grace_s", raw.grace_s, 0.5..=600.0, "s")?;
         let cores = within("cores", raw.cores, 0.001..=1_000.0, "cores")?;
         let link_mbps = within("link_mbps", raw.link_mbps, 0.1..=1_000_000.0, "Mbit/s")?;
-        let beat_ms = within(
+        let heartbeat_ms = within(
             "worker_heartbeat_ms",
             raw.worker_heartbeat_ms,
-            1..=LONGEST_MS,
+            1..=MAX_TIME_MS,
             "ms",
         )?;
         let peers = address("peers", &raw.peers)?;
@@ -195,41 +195,41 @@
                 lease_ms,
                 max_lease_ms: lease_ms,
                 authority_ms: lease_ms - AUTHORITY_GAP_MS.min(lease_ms / 2),
-                stop_ms: within("stop_ms", raw.stop_ms, 1..=LONGEST_MS, "ms")?,
-                take_down_gap_ms: within("turn_gap_ms", raw.turn_gap_ms, 0..=LONGEST_MS, "ms")?
-                    + TURN_MARGIN_MS,
-                early_ms: within("early_ms", raw.early_ms, 0..=LONGEST_MS, "ms")? / 4,
-                stale_entry_ms: beat_ms * ENTRY_BEATS,
+                stop_ms: within("stop_ms", raw.stop_ms, 1..=MAX_TIME_MS, "ms")?,
+                take_down_gap_ms: within("turn_gap_ms", raw.turn_gap_ms, 0..=MAX_TIME_MS, "ms")?
+                    + TAKE_DOWN_MARGIN_MS,
+                early_ms: within("early_ms", raw.early_ms, 0..=MAX_TIME_MS, "ms")? / 4,
+                stale_entry_ms: heartbeat_ms * ENTRY_HEARTBEATS,
                 show_ms: shown_s * 1_000 + defaults.lease_ms,
                 without: mechanisms(&raw.without)?,
                 ratings_per_ms: (cores * f64::from(stackpier_cell::RATINGS_PER_CORE)) as u32,
-                max_start_bytes: (link_mbps * BYTES_PER_MS * SENDING_MS) as u64,
-                max_starts: (cores * WORKING_MS / START_MS).ceil() as usize,
+                max_start_bytes: (link_mbps * BYTES_PER_MS * MAX_SENDING_MS) as u64,
+                max_starts: (cores * MAX_PROCESSING_MS / START_PROCESSOR_MS).ceil() as usize,
                 ..defaults
             },
             grace_ms: (grace_s * 1_000.0) as u64,
             milli_cores: (cores * 1_000.0) as u32,
-            link_kbps: (link_mbps * KBPS) as u32,
+            link_kbps: (link_mbps * KBPS_PER_MBPS) as u32,
             costs: Costs { cores, link_mbps },
-            vm: named("vm", raw.vm)?,
-            data_centre: named("data_centre", raw.data_centre)?,
+            vm: non_empty("vm", raw.vm)?,
+            data_centre: non_empty("data_centre", raw.data_centre)?,
         })
     }
 }
 
 fn usual_mbps() -> f64 {
-    USUAL_MBPS
+    DEFAULT_LINK_MBPS
 }
 
 fn usual_beat_ms() -> u64 {
-    USUAL_BEAT_MS
+    DEFAULT_HEARTBEAT_MS
 }
 
 fn mechanisms(names: &[String]) -> Checked<Mechanisms, Invalid> {
     names.iter().map(|name| name.parse::<Mechanism>()).collect()
 }
 
-fn named(field: &str, value: String) -> Checked<String, Invalid> {
+fn non_empty(field: &str, value: String) -> Checked<String, Invalid> {
     if value.is_empty() {
         return Err(invalid(field, "''", "a name"));
     }
@@ -245,6 +245,6 @@
 }
 
 fn address(field: &str, value: &str) -> Checked<SocketAddr, Invalid> {
-    let wrong = |_| invalid(field, format!("'{value}'"), "IP:port");
-    value.parse().map_err(wrong)
+    let reject = |_| invalid(field, format!("'{value}'"), "IP:port");
+    value.parse().map_err(reject)
 }
--- a/crates/stackpier-scheduler/src/watch.rs
+++ b/crates/stackpier-scheduler/src/watch.rs
@@ -16,24 +16,24 @@
 /// connection is tried within 2.9 s: before the three seconds after which users
 /// take a daemon to be in touch again.
 const WAIT_MS: u64 = 2_200;
-/// MANY is the number of changes in one answer from which the next watch follows at once.
+/// BUSY_CHANGES is the number of changes in one answer from which the next watch follows at once.
 /// 3,000 workers that write their entries every 1.5 s make 2,000 changes a second. If
 /// an answer holds 500 at most, as a page of a listing does, a watch that pauses for 250 ms
 /// after each falls behind, and workers that are leaving get starts.
-const MANY: usize = 200;
+const BUSY_CHANGES: usize = 200;
 /// RETRY_MS is the pause after a call that failed.
 const RETRY_MS: u64 = 250;
 
-/// Feed is what a follower is told.
+/// Update is what a follower is told.
 #[derive(Clone, Debug)]
-pub(crate) enum Feed {
+pub(crate) enum Update {
     /// All items there are: whatever else was known is gone.
     All(Vec<Item>),
     /// What changed since.
     Changes(Vec<Change>),
 }
 
-impl Feed {
+impl Update {
     /// into_items returns the items that are there or new, without removals.
     pub(crate) fn into_items(self) -> Vec<Item> {
         let put = |change| match change {
@@ -41,8 +41,8 @@
             Change::Removed(_) => None,
         };
         match self {
-            Feed::All(items) => items,
-            Feed::Changes(changes) => changes.into_iter().filter_map(put).collect(),
+            Update::All(items) => items,
+            Update::Changes(changes) => changes.into_iter().filter_map(put).collect(),
         }
     }
 }
@@ -53,14 +53,14 @@
     fn prefix(&self) -> &str;
 
     /// take takes in news.
-    fn take(&mut self, feed: Feed);
+    fn apply(&mut self, update: Update);
 
     /// is_wanted tells whether to go on.
     fn is_wanted(&self) -> bool;
 
-    /// skips tells whether only the newest value of a key counts: if a watch brings several
+    /// wants_latest_only tells whether only the newest value of a key counts: if a watch brings several
     /// values of one, the next read is a listing.
-    fn skips(&self) -> bool {
+    fn wants_latest_only(&self) -> bool {
         false
     }
 
@@ -79,11 +79,11 @@
     mut after: Option<u64>,
 ) {
     while follower.is_wanted() {
-        let turn = match after {
+        let result = match after {
             None => list(&node, &mut follower).await,
             Some(at) => watch(&node, &mut follower, at).await,
         };
-        match turn {
+        match result {
             Ok(next) => after = next,
             Err(_) => pause(RETRY_MS).await,
         }
@@ -93,7 +93,7 @@
 async fn list<P: Platform, F: Follower>(node: &Node<P>, follower: &mut F) -> Result<Option<u64>> {
     let listing = node.store_list(follower.prefix()).await?;
     if follower.is_wanted() {
-        follower.take(Feed::All(listing.items));
+        follower.apply(Update::All(listing.items));
     }
     Ok(Some(listing.at))
 }
@@ -106,7 +106,7 @@
     let watched = tokio::select! {
         watched = node.store_watch(follower.prefix(), after, WAIT_MS) => watched?,
         // What was sent while the store was away may never be answered.
-        () = node.store_regained() => return Ok(Some(after)),
+        () = node.wait_for_store() => return Ok(Some(after)),
     };
     match watched {
         Watched::Compacted => {
@@ -117,12 +117,12 @@
             Ok(None)
         }
         Watched::Changes(changes, at) => {
-            let behind = follower.skips() && has_repeats(&changes);
+            let behind = follower.wants_latest_only() && has_repeats(&changes);
             let count = changes.len();
             let news = count > 0;
             if news && follower.is_wanted() {
-                follower.take(Feed::Changes(changes));
-                if count < MANY {
+                follower.apply(Update::Changes(changes));
+                if count < BUSY_CHANGES {
                     pause(follower.pause_ms()).await;
                 }
             }
