--- a/crates/stackpier-scheduler/src/cluster.rs
+++ b/crates/stackpier-scheduler/src/cluster.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the store shows of the cluster: its daemons, and who owns the cell.
+//! Follows the daemons and the ownership of the cell in the store.
 
 use stackpier_protocol::codec::decode;
 
@@ -11,7 +11,7 @@
     watch::{Follower, Update},
 };
 
-/// Cluster follows the ownership and the daemons.
+/// Cluster follows the ownership and the daemons' entries.
 pub(crate) struct Cluster<P> {
     pub(crate) node: Node<P>,
 }
@@ -68,7 +68,8 @@
         }
     }
 
-    /// apply_ownership takes in who owns the cell. Older news is left aside.
+    /// apply_ownership records who owns the cell, and gives up the cell if that is another
+    /// daemon. An item that is not newer than the known one is ignored.
     pub(crate) fn apply_ownership(&self, item: &Item) {
         let ownership = match decode::<Ownership>(&item.value) {
             Ok(ownership) => ownership,
--- a/crates/stackpier-scheduler/src/daemon.rs
+++ b/crates/stackpier-scheduler/src/daemon.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The life of the daemon: its servers, its followers, and its planned stop.
+//! Starts the daemon's servers and followers, answers its peers, and stops it in order.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -28,20 +28,19 @@
     watch::{Follower, Update, follow},
 };
 
-/// DRAIN_MS is how long a daemon that was told to stop goes on taking
-/// connections: the balancer misses two checks, one a second, before it sends
-/// no more.
+/// DRAIN_MS is how long a stopping daemon still accepts connections. The load balancer
+/// checks once a second and stops sending requests after two failed checks.
 const DRAIN_MS: u64 = 2_300;
-/// STOP_MARGIN_MS is how long before it would be killed a stopping daemon ends,
-/// whatever is still open.
+/// STOP_MARGIN_MS is how long before the kill deadline a stopping daemon exits, even with
+/// connections still open.
 const STOP_MARGIN_MS: u64 = 1_000;
-/// STOP_POLL_MS is the time between two looks at what is still open.
+/// STOP_POLL_MS is the time between two checks of whether work is still open.
 const STOP_POLL_MS: u64 = 50;
-/// FETCH_TIMEOUT bounds asking a peer for its configuration.
+/// FETCH_TIMEOUT bounds fetching the configuration from a peer.
 const FETCH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(800);
 
-/// run serves until the process is told to stop. `callers` answers client
-/// accounts.
+/// run serves until the process receives a signal to stop. `callers` handles the requests
+/// of client accounts.
 pub async fn run<P: Platform, H: Handler>(node: Node<P>, callers: H) -> Result<()> {
     let settings = node.settings.clone();
     let (close, closing) = watch::channel(false);
@@ -86,9 +85,9 @@
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            // No setting changes while the process runs: what operators
-            // change comes through the store.
-            _ = hangup.recv() => node.say("daemon", "settings file changed: nothing in it is reloaded"),
+            // Settings are fixed for the life of the process. What operators change at run
+            // time comes through the store.
+            _ = hangup.recv() => node.say("daemon", "SIGHUP ignored: settings are not reloaded"),
         }
     }
 }
@@ -115,9 +114,10 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// release gives the cell to another daemon before a planned stop.
+    /// release gives up the cell before a planned stop, so that another daemon can take it
+    /// over at once.
     async fn release(&self) {
-        // From here on this daemon orders nothing.
+        // From here on this daemon sends no orders.
         let Some(owner) = self.owner.replace(None) else {
             return;
         };
@@ -138,7 +138,8 @@
         );
     }
 
-    /// config_version returns the version of the configuration in force.
+    /// config_version returns the version of the configuration in force, 0 if there is
+    /// none.
     pub(crate) fn config_version(&self) -> u64 {
         self.config
             .borrow()
@@ -146,12 +147,13 @@
             .map_or(0, |config| config.version)
     }
 
-    /// config returns the configuration in force.
+    /// config returns the configuration in force, if there is one.
     pub fn config(&self) -> Option<Rc<Config>> {
         self.config.borrow().clone()
     }
 
-    /// apply_config puts a configuration in force, unless a newer one is.
+    /// apply_config puts a configuration in force unless the version in force is the same
+    /// or newer.
     fn apply_config(&self, item: &Item, from: &str) {
         let config = match self.platform.config(item) {
             Ok(config) => config,
@@ -177,7 +179,8 @@
         self.feed_queues();
     }
 
-    /// apply_plan takes in a plan of maintenance.
+    /// apply_plan adds a maintenance plan that an operator wrote, if the settings allow
+    /// taking hosts down.
     fn apply_plan(&self, item: &Item) {
         let plan = match self.platform.plan(item) {
             Ok(Some(plan)) => plan,
@@ -189,7 +192,10 @@
             }
         };
         if self.settings.hosts.is_none() {
-            let text = format!("plan {} is left: no address takes hosts down", plan.number);
+            let text = format!(
+                "plan {} ignored: the settings have no address for taking hosts down",
+                plan.number
+            );
             self.say("config", &text);
             return;
         }
@@ -201,7 +207,8 @@
         self.feed_plans();
     }
 
-    /// fetch_config takes over a newer configuration from a peer.
+    /// fetch_config fetches the configuration from a peer and puts it in force if it is
+    /// newer.
     pub(crate) async fn fetch_config(&self, address: &str) {
         if let Ok(Response::Config(value, revision)) = self
             .links
@@ -219,7 +226,8 @@
     }
 }
 
-/// Configs follows what operators write.
+/// Configs follows the configuration and the maintenance plans that operators write to the
+/// store.
 struct Configs<P> {
     node: Node<P>,
 }
@@ -243,9 +251,9 @@
         true
     }
 
-    /// wants_latest_only is true: each configuration replaces the one before. Changes that come twelve
-    /// times a second are more than a link of 2 Mbit/s carries one by one, and the last of
-    /// them was in force seconds late.
+    /// wants_latest_only is true because each configuration replaces the one before. With
+    /// twelve changes a second, a link of 2 Mbit/s can't carry every version, and the last
+    /// one came into force seconds late.
     fn wants_latest_only(&self) -> bool {
         true
     }
@@ -321,7 +329,8 @@
     }
 }
 
-/// Readiness tells the balancer whether this daemon takes requests.
+/// Readiness answers the load balancer's checks: 200 if this daemon takes requests, else
+/// 503.
 struct Readiness<P>(Node<P>);
 
 impl<P> Clone for Readiness<P> {
@@ -336,7 +345,7 @@
     }
 }
 
-/// Metrics shows the daemon's metrics, and explains where a job's tasks are.
+/// Metrics serves the daemon's metrics and the explanations of where a job's tasks are.
 struct Metrics<P>(Node<P>);
 
 impl<P> Clone for Metrics<P> {
@@ -354,7 +363,7 @@
             Ok(text) => answer(200, text, None),
             Err(error) => {
                 self.0
-                    .say("daemon", &format!("metrics not written: {error}"));
+                    .say("daemon", &format!("cannot encode the metrics: {error}"));
                 answer(500, Vec::new(), None)
             }
         }
--- a/crates/stackpier-scheduler/src/following.rs
+++ b/crates/stackpier-scheduler/src/following.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Following jobs and workers in the store for the owner.
+//! Follows jobs and workers in the store for the cell's owner.
 
 use std::collections::HashMap;
 
@@ -17,21 +17,22 @@
     watch::{Follower, Update},
 };
 
-/// JOBS_PAUSE_MS is the pause between two looks at new jobs in the store.
-/// Daemons also tell the owner of each job, so this only catches lost messages.
+/// JOBS_PAUSE_MS is the pause between two watches for new jobs. Daemons also send each job
+/// to the owner, so the watch only finds jobs whose message was lost.
 const JOBS_PAUSE_MS: u64 = 700;
-/// WORKERS_PAUSE_MS is the pause between two looks at the list of workers, each
-/// of which writes its entry every 1.5 s: without it each entry costs a call. A
-/// worker stays for two seconds or more after it said that it leaves.
+/// WORKERS_PAUSE_MS is the pause between two watches of the list of workers. Each worker
+/// writes its entry every 1.5 s, and without the pause every entry would cost a call. The
+/// pause can be this long because a worker stays for two seconds or more after it announces
+/// that it leaves.
 const WORKERS_PAUSE_MS: u64 = 250;
 
-/// Jobs follows jobs and their cancelling for the owner.
+/// Jobs follows jobs and their cancellations for the owner.
 pub(crate) struct Jobs<P> {
     pub node: Node<P>,
     pub fence: u64,
-    /// Progress under earlier owners, until the cell has it.
+    /// Encoded progress saved by earlier owners, until it is passed to the cell.
     pub progress: HashMap<key::Job, Vec<u8>>,
-    /// By which way the jobs come now.
+    /// How this daemon currently learns of the jobs.
     pub source: Source,
 }
 
@@ -40,14 +41,12 @@
         match keys::entry(&item.key) {
             Some(Entry::Job(job)) => self.apply_job(job, item),
             Some(Entry::Cancel(job)) => self.node.feed(self.fence, Event::Cancelled(job)),
-            None => self
-                .node
-                .say("owner", &format!("key {} is not known", item.key)),
+            None => self.node.say("owner", &format!("unknown key {}", item.key)),
         }
     }
 
-    /// apply_job gives the cell a job. One whose progress can't be read is left alone: it may
-    /// have begun, and tasks of it may be done.
+    /// apply_job passes a job to the cell. A job with unreadable progress is ignored: it
+    /// may have begun, and some of its tasks may be done.
     fn apply_job(&mut self, job: key::Job, item: &Item) {
         let subject = || Some(keys::hex(job));
         let record = self.node.decode_or_log(subject(), "the job", &item.value);
@@ -57,7 +56,7 @@
         let progress = match self.saved_progress(job) {
             Ok(progress) => progress.map(Box::new),
             Err(error) => {
-                let text = format!("job left alone, its progress is not readable: {error}");
+                let text = format!("job ignored, its progress is not readable: {error}");
                 self.node.say_of("job", subject(), &text);
                 return;
             }
@@ -67,7 +66,8 @@
             .take_in(self.fence, self.source, job, Box::new(record), progress);
     }
 
-    /// saved_progress returns what earlier owners saved of a job, if anything.
+    /// saved_progress returns the progress of a job that earlier owners saved, if there is
+    /// any.
     fn saved_progress(&self, job: key::Job) -> Result<Option<Progress>> {
         let value = self.progress.get(&job);
         value.map(|value| decode(value)).transpose()
@@ -98,7 +98,7 @@
 pub(crate) struct Workers<P> {
     pub node: Node<P>,
     pub fence: u64,
-    /// The ids of the workers that are listed.
+    /// The ids of the workers in the list.
     pub listed: Vec<String>,
 }
 
--- a/crates/stackpier-scheduler/src/handover.rs
+++ b/crates/stackpier-scheduler/src/handover.rs
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Handing over what an owner could not save to the daemon that owns the cell next.
+//! Hands over to the cell's new owner what its predecessor could not save.
 //!
-//! The successor asks for it as it takes over. An owner that was cut off by then sends it
-//! when it learns that it was replaced. Both may happen, and either may come twice.
+//! The successor requests it when it takes over. A predecessor that was unreachable then
+//! sends it when it learns that it was replaced. Both may happen, and the same progress may
+//! arrive twice.
 
 use std::time::Duration;
 
@@ -16,28 +17,30 @@
     owner::Owner,
 };
 
-/// QUERY_TIMEOUT bounds asking the earlier owner. Inherited tasks wait for as long.
+/// QUERY_TIMEOUT bounds the wait for the predecessor's answer. Inherited tasks wait as
+/// long.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(350);
 /// RETRY_MS is the pause before a message to the successor is sent again.
 const RETRY_MS: u64 = 200;
-/// HANDOVER_MS is for how long an earlier owner tries: by then its successor has started again
-/// what it inherited, as no lease lasts longer.
+/// HANDOVER_MS is how long a predecessor tries to hand over. No lease lasts longer, so
+/// after this time the successor has restarted the tasks that it inherited.
 const HANDOVER_MS: u64 = 16_000;
-/// JOBS_PER_MESSAGE bounds a message: a slow link carries it within the time of a question.
+/// JOBS_PER_MESSAGE bounds the size of a message, so that a slow link carries it within the
+/// timeout of a request.
 const JOBS_PER_MESSAGE: usize = 32;
 
-/// Predecessor is what a daemon that takes the cell over knows of the owner before it.
+/// Predecessor is what a daemon that takes the cell over knows of the previous owner.
 #[derive(Clone, Debug)]
 pub(crate) struct Predecessor {
-    /// Whether it may still act.
+    /// Whether it may still act as the owner.
     pub may_act: bool,
-    /// Where it takes messages, if that is known.
+    /// The address on which it takes messages, if known.
     pub address: Option<String>,
 }
 
 impl<P: Platform> Node<P> {
-    /// keep_unsaved keeps what an owner that was replaced could not save, and has it sent to its
-    /// successor. It returns for how many jobs.
+    /// keep_unsaved keeps what a replaced owner could not save and starts sending it to the
+    /// successor. It returns the number of jobs.
     pub(crate) fn keep_unsaved(&self, owner: &Owner) -> usize {
         let unsaved = owner.cell.unsaved();
         let jobs = unsaved.len();
@@ -50,7 +53,8 @@
         jobs
     }
 
-    /// hand_over sends what is kept until the successor has it or nobody waits for it any more.
+    /// hand_over sends the unsaved jobs until the successor has received them or
+    /// [`HANDOVER_MS`] has passed.
     async fn hand_over(&self) {
         let end = self.mono().plus(HANDOVER_MS);
         while self.mono() < end && !self.unsaved.borrow().is_empty() {
@@ -60,7 +64,7 @@
                 let text = format!("{} unsaved jobs are handed over", unsaved.len());
                 self.say("owner", &text);
             } else {
-                // The successor may not be known yet, or is still reading the cell.
+                // The successor may be unknown as yet, or still be reading the cell.
                 pause(RETRY_MS).await;
             }
         }
@@ -85,21 +89,23 @@
         Ok(())
     }
 
-    /// unsaved_for answers the daemon that owns the cell with a fence, in one message. What is
-    /// too long to come in time on a slow link is sent in parts by `hand_over`.
+    /// unsaved_for gives up the cell to the owner with `fence` and returns all unsaved jobs
+    /// in one message. If the message is too long to arrive in time on a slow link,
+    /// `hand_over` sends the jobs in parts.
     pub(crate) fn unsaved_for(&self, fence: u64) -> Vec<Unsaved> {
-        self.depose(fence, "its successor asks for what is not saved");
+        self.depose(fence, "its successor requests the unsaved jobs");
         self.unsaved.borrow().clone()
     }
 
-    /// query_predecessor asks the earlier owner for what it could not save.
+    /// query_predecessor requests from the predecessor what it could not save, and passes
+    /// the answer to the cell.
     pub(crate) async fn query_predecessor(&self, fence: u64, address: &str) {
         let request = Request::Unsaved(fence);
         let asked = self.links.call(address, &request, QUERY_TIMEOUT).await;
         let unsaved = match asked {
             Ok(Response::Unsaved(unsaved)) => unsaved,
             other => {
-                let text = format!("the earlier owner did not tell what is not saved: {other:?}");
+                let text = format!("the predecessor did not send its unsaved jobs: {other:?}");
                 self.say("owner", &text);
                 Vec::new()
             }
--- a/crates/stackpier-scheduler/src/keys.rs
+++ b/crates/stackpier-scheduler/src/keys.rs
@@ -1,77 +1,77 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The daemon's own keys in the store, and the values under some of them.
+//! The daemon's own keys in the store, and the values of some of them.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::key::{self, Boot};
 
-/// CLUSTER is the prefix of what all daemons watch.
+/// CLUSTER is the prefix that all daemons follow.
 pub(crate) const CLUSTER: &str = "cluster/";
 /// OWNER is the key of the cell's ownership.
 pub(crate) const OWNER: &str = "cluster/owner";
-/// MEMBERS is the prefix of the daemons.
+/// MEMBERS is the prefix of the daemons' entries.
 pub(crate) const MEMBERS: &str = "cluster/member/";
-/// JOBS is the prefix of accepted jobs and of their cancelling.
+/// JOBS is the prefix of accepted jobs and of their cancellations.
 pub(crate) const JOBS: &str = "job/";
-/// PROGRESS is the prefix of the progress of jobs.
+/// PROGRESS is the prefix of the jobs' progress.
 pub(crate) const PROGRESS: &str = "progress/";
-/// ROSTER is the key of the workers that may run something.
+/// ROSTER is the key of the roster: the workers that may run something for the cell.
 pub(crate) const ROSTER: &str = "roster";
-/// MEMORY is the key of what the owners have learnt.
+/// MEMORY is the key of the saved model of expected harm.
 pub(crate) const MEMORY: &str = "memory";
-/// MAINTENANCE is the key of how far the plans of maintenance are.
+/// MAINTENANCE is the key of the state of the maintenance plans.
 pub(crate) const MAINTENANCE: &str = "maintenance";
-/// CANCEL ends the key of a job's cancelling.
+/// CANCEL is the suffix of the key of a job's cancellation.
 const CANCEL: &str = "/cancel";
 /// ID_RADIX is the radix of a job's id in a key.
 const ID_RADIX: u32 = 16;
 
-/// Ownership is the value under [`OWNER`].
+/// Ownership is the value of [`OWNER`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Ownership {
     /// The VM of the owner.
     pub vm: String,
-    /// The run of its process.
+    /// The id of its process, new with each start.
     pub boot: Boot,
-    /// Where its peers reach it.
+    /// The address for its peers.
     pub address: String,
-    /// Rises by one with each change of owner.
+    /// The fencing token, which rises by one with each change of owner.
     pub fence: u64,
-    /// Whether the owner has given it up and orders nothing any more.
+    /// Whether the owner has given up the cell and sends no more orders.
     pub released: bool,
 }
 
-/// Member is the value under a daemon's key.
+/// Member is the value of a daemon's entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Member {
     /// The VM.
     pub vm: String,
-    /// The run of its process.
+    /// The id of its process, new with each start.
     pub boot: Boot,
-    /// Where its peers reach it.
+    /// The address for its peers.
     pub address: String,
     /// Its data centre.
     pub data_centre: String,
-    /// The processor that it has, in thousandths of a core.
+    /// The VM's processor capacity, in thousandths of a core.
     pub milli_cores: u32,
-    /// Its link, in kbit/s.
+    /// The bandwidth of its link, in kbit/s.
     pub link_kbps: u32,
 }
 
-/// Entry is what a key under [`JOBS`] is about.
+/// Entry is what a key under [`JOBS`] stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Entry {
     /// A job.
     Job(key::Job),
-    /// The cancelling of a job.
+    /// The cancellation of a job.
     Cancel(key::Job),
 }
 
-/// member returns a daemon's key.
+/// member returns the key of a daemon's entry.
 pub(crate) fn member(vm: &str) -> String {
     format!("{MEMBERS}{vm}")
 }
 
-/// hex writes a job's id as client accounts do.
+/// hex formats a job's id as client accounts write it.
 pub(crate) fn hex(job: key::Job) -> String {
     format!("{:016x}", job.0)
 }
@@ -81,7 +81,7 @@
     format!("{JOBS}{}", hex(job))
 }
 
-/// cancel returns the key of a job's cancelling.
+/// cancel returns the key of a job's cancellation.
 pub(crate) fn cancel(job: key::Job) -> String {
     format!("{JOBS}{}{CANCEL}", hex(job))
 }
@@ -91,7 +91,7 @@
     format!("{PROGRESS}{}", hex(job))
 }
 
-/// entry reads a key under [`JOBS`].
+/// entry parses a key under [`JOBS`].
 pub(crate) fn entry(key: &str) -> Option<Entry> {
     let rest = key.strip_prefix(JOBS)?;
     let parse = |hex: &str| u64::from_str_radix(hex, ID_RADIX).ok().map(key::Job);
@@ -101,7 +101,7 @@
     }
 }
 
-/// progress_of reads a key under [`PROGRESS`].
+/// progress_of parses a key under [`PROGRESS`].
 pub(crate) fn progress_of(key: &str) -> Option<key::Job> {
     let hex = key.strip_prefix(PROGRESS)?;
     u64::from_str_radix(hex, ID_RADIX).ok().map(key::Job)
--- a/crates/stackpier-scheduler/src/lib.rs
+++ b/crates/stackpier-scheduler/src/lib.rs
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The daemon around a cell: it takes jobs, keeps them in the store, follows
-//! the configuration and the other daemons, and, when it owns the cell,
-//! carries out the decisions of `stackpier-cell`.
+//! The daemon around a cell. It accepts jobs, saves them in the store, follows the
+//! configuration and the other daemons, and, when it owns the cell, carries out the
+//! decisions of `stackpier-cell`.
 //!
-//! One thread runs everything: an event loop of `tokio` with local tasks. What
-//! the outside speaks is behind the traits [`Store`], [`Fleet`],
-//! [`Adviser`], [`Hosts`] and [`Catalog`], which an adapter implements.
+//! One thread runs everything: a `tokio` event loop with local tasks. The platform's
+//! interfaces are behind the traits [`Store`], [`Fleet`], [`Adviser`], [`Hosts`] and
+//! [`Catalog`], which an adapter implements.
 
 mod calls;
 pub mod catalog;
@@ -38,7 +38,7 @@
 pub use settings::Settings;
 pub use store::Store;
 
-/// Platform is everything that the daemon asks of the outside.
+/// Platform combines all interfaces that the daemon needs from its platform.
 pub trait Platform: Store + Fleet + Adviser + Hosts + Catalog + Clone + 'static {}
 
 impl<T: Store + Fleet + Adviser + Hosts + Catalog + Clone + 'static> Platform for T {}
--- a/crates/stackpier-scheduler/src/loading.rs
+++ b/crates/stackpier-scheduler/src/loading.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Loading the cell from the store when this daemon comes to own it.
+//! Loads the cell from the store when this daemon has become its owner.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
 
@@ -21,14 +21,14 @@
     watch::{Follower, Update, follow},
 };
 
-/// LOAD_RETRY_MS is the pause before loading is tried again.
+/// LOAD_RETRY_MS is the pause before a failed load is retried.
 const LOAD_RETRY_MS: u64 = 200;
 
-/// SLOW_KBPS is the link below which the parts of a cell are read one after the other: half
-/// a megabyte takes half a second on it.
+/// SLOW_KBPS is the link speed below which the parts of a cell are read one after the
+/// other. Half a megabyte takes half a second at this speed.
 const SLOW_KBPS: u32 = 8_000;
 
-/// Loaded is all that the store keeps of a cell.
+/// Loaded holds everything that the store keeps of a cell.
 struct Loaded {
     jobs: Listing,
     progress: Listing,
@@ -39,7 +39,7 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// load reads the cell from the store and begins to schedule it.
+    /// load reads the cell from the store and starts scheduling it.
     pub(crate) async fn load(&self, owned: Owned, predecessor: Predecessor) {
         let fence = owned.ownership.fence;
         self.loading.set(true);
@@ -63,12 +63,16 @@
         }
     }
 
-    /// read_cell reads the cell, for as long as this daemon owns it.
+    /// read_cell reads the cell and retries until it succeeds. It returns nothing if the
+    /// ownership changed meanwhile.
     async fn read_cell(&self, fence: u64) -> Option<Loaded> {
         loop {
             match self.read().await {
                 Ok(loaded) => return (self.fence() == fence).then_some(loaded),
-                Err(error) => self.say("owner", &format!("cell not read yet: {error}")),
+                Err(error) => self.say(
+                    "owner",
+                    &format!("reading the cell failed, retrying: {error}"),
+                ),
             }
             pause(LOAD_RETRY_MS).await;
             if self.fence() != fence {
@@ -84,9 +88,9 @@
             .map_or(0, |owned| owned.ownership.fence)
     }
 
-    /// read reads all parts of the cell: on a slow link one after the other, so that
-    /// heartbeats pass between them, else at once, as a store that is slow would be waited
-    /// for once for each.
+    /// read reads all parts of the cell. On a slow link it reads them one after the other,
+    /// so that heartbeats pass in between. Otherwise it reads them concurrently, so that a
+    /// slow store delays the load by one call instead of by six.
     async fn read(&self) -> Result<Loaded> {
         if self.settings.link_kbps < SLOW_KBPS {
             return Ok(Loaded {
@@ -116,8 +120,8 @@
         })
     }
 
-    /// install puts the cell in its place and begins to follow its jobs and
-    /// workers.
+    /// install makes this daemon the cell's acting owner and starts following the cell's
+    /// jobs and workers.
     fn install(&self, owned: Owned, predecessor: &Predecessor, loaded: Loaded) {
         let fence = owned.ownership.fence;
         let mut revisions = Revisions::default();
@@ -125,7 +129,7 @@
         if predecessor.address.is_some() {
             cell.await_handover();
         }
-        // Reading may have taken seconds, in which a later owner may have come.
+        // Reading may have taken seconds, and a later owner may have taken over meanwhile.
         cell.set_confirmed(self.owned_since(fence));
         self.restore(&mut cell, &mut revisions, &loaded);
         let mut progress = HashMap::new();
@@ -158,8 +162,8 @@
         tokio::task::spawn_local(tick(self.clone(), fence));
     }
 
-    /// restore gives a cell what earlier owners kept: the workers that they
-    /// used, what they learnt and which hosts they took down.
+    /// restore passes to the cell what earlier owners saved: the roster of workers, the
+    /// model and the state of maintenance.
     fn restore(&self, cell: &mut Cell, revisions: &mut Revisions, loaded: &Loaded) {
         if let Some(item) = &loaded.roster {
             revisions.set(ROSTER, item.revision);
@@ -170,7 +174,7 @@
         }
         if let Some(item) = &loaded.memory {
             revisions.set(MEMORY, item.revision);
-            let memory = self.decode_or_log::<ModelSnapshot>(None, "what was learnt", &item.value);
+            let memory = self.decode_or_log::<ModelSnapshot>(None, "the saved model", &item.value);
             if let Some(memory) = memory {
                 cell.restore_model(&memory);
             }
@@ -179,7 +183,7 @@
             revisions.set(MAINTENANCE, item.revision);
             let records = self.decode_or_log::<Vec<maintenance::Record>>(
                 None,
-                "what was taken down",
+                "the state of maintenance",
                 &item.value,
             );
             if let Some(records) = records {
@@ -190,15 +194,15 @@
 
     fn restore_roster(&self, cell: &mut Cell, entries: &[RosterEntry]) {
         let text = format!(
-            "workers to wait for, by the roster: {}",
+            "waiting for reports of the roster: {}",
             describe_roster(entries)
         );
         self.say("owner", &text);
         entries.iter().for_each(|entry| cell.add_roster(entry));
     }
 
-    /// decode_or_log decodes a value that an owner or a daemon wrote, and logs it if
-    /// that fails.
+    /// decode_or_log decodes a value from the store and logs a failure. `what` names the
+    /// value.
     pub(crate) fn decode_or_log<T: DeserializeOwned>(
         &self,
         subject: Option<String>,
@@ -215,8 +219,8 @@
         }
     }
 
-    /// start_followers takes in the jobs and workers of two listings, and
-    /// follows the changes after them.
+    /// start_followers passes the listed jobs and workers to the cell and follows the
+    /// changes after the listings.
     fn start_followers(
         &self,
         mut jobs: Jobs<P>,
--- a/crates/stackpier-scheduler/src/log.rs
+++ b/crates/stackpier-scheduler/src/log.rs
@@ -1,29 +1,28 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The log: JSON lines on standard output, written by a thread of its own, so
-//! that no decision waits for them. Each part has a bounded rate; a line says
-//! how many were left out.
+//! The log: JSON lines on standard output, written by a separate thread so that no decision
+//! waits for a write. Each part has a rate limit, and a line reports how many lines it
+//! dropped.
 
 use std::{cell::RefCell, collections::HashMap, sync::Mutex};
 
 use slog::{Drain, Logger, o};
 use stackpier_core::Millis;
 
-/// CHANNEL_LINES is how many lines may wait to be written; more are dropped and
-/// counted in a line of their own.
+/// CHANNEL_LINES is how many lines may wait to be written. More are dropped and reported in
+/// a line.
 const CHANNEL_LINES: usize = 4_096;
 /// MAX_LINES_PER_S is how many lines a part may write in a second on a large VM.
 const MAX_LINES_PER_S: u32 = 400;
-/// LINES_PER_S_PER_CORE is how many lines a part may write in a second on a VM with one core: a VM of
-/// 0.25 cores writes what the largest do. If a line takes 10 microseconds, which was not
-/// measured, a part takes 1.6% of the processor at most.
+/// LINES_PER_S_PER_CORE is how many lines a part may write in a second for each core of the
+/// VM. From 0.25 cores on, [`MAX_LINES_PER_S`] applies. At an assumed 10 microseconds a
+/// line, a part takes at most 1.6% of the processor.
 const LINES_PER_S_PER_CORE: u32 = 1_600;
 /// MILLI_PER_CORE is the number of thousandths in a core.
 const MILLI_PER_CORE: u32 = 1_000;
-/// WINDOW_MS is the time over which lines are counted.
+/// WINDOW_MS is the time over which the lines of a part are counted.
 const WINDOW_MS: u64 = 1_000;
 
-/// logger builds the daemon's log. The guard writes out what waits when it is
-/// dropped.
+/// logger creates the daemon's log. Dropping the guard writes out the waiting lines.
 pub fn logger(vm: &str) -> (Logger, slog_async::AsyncGuard) {
     let drain = Mutex::new(slog_json::Json::default(std::io::stdout())).fuse();
     let (core, guard) = slog_async::AsyncCore::custom(drain)
@@ -32,7 +31,7 @@
     (Logger::root(core.fuse(), o!("vm" => vm.to_owned())), guard)
 }
 
-/// RateLimit bounds the lines of each part.
+/// RateLimit bounds the rate of log lines for each part.
 pub struct RateLimit {
     lines_per_s: u32,
     parts: RefCell<HashMap<&'static str, Window>>,
@@ -45,17 +44,17 @@
     omitted: u32,
 }
 
-/// Admission tells whether a line may be written.
+/// Admission is the decision whether a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may; so many lines of the part were left out before it.
+    /// Write the line. The value is the number of the part's lines dropped before it.
     Write(u32),
-    /// It is left out.
+    /// Drop the line.
     Omit,
 }
 
 impl RateLimit {
-    /// new bounds the lines by the VM's processor, in thousandths of a core.
+    /// new sets the limit by the VM's processor, in thousandths of a core.
     pub fn new(milli_cores: u32) -> RateLimit {
         let lines_per_s =
             u64::from(LINES_PER_S_PER_CORE) * u64::from(milli_cores) / u64::from(MILLI_PER_CORE);
@@ -65,7 +64,7 @@
         }
     }
 
-    /// check counts a line of a part.
+    /// check counts a line of a part and decides whether it is written.
     pub fn check(&self, now: Millis, part: &'static str) -> Admission {
         let mut parts = self.parts.borrow_mut();
         let window = parts.entry(part).or_default();
--- a/crates/stackpier-scheduler/src/member.rs
+++ b/crates/stackpier-scheduler/src/member.rs
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The other daemons: who there is, who owns the cell, and when to take over.
+//! Heartbeats to the cell's owner, and the take-over of the cell when the owner fails.
 //!
-//! Followers send heartbeats to the owner. When it does not answer, the
-//! daemons step in by rank: each waits a little longer than the one before it.
-//! A candidate first asks the others whether they hear the owner. The store
-//! decides: the ownership is changed by compare-and-swap, and its fence rises.
+//! Followers send heartbeats to the owner. When it does not answer, the daemons try to take
+//! over by rank: each waits a little longer than the one ranked before it. A candidate
+//! first asks the others whether they still reach the owner. The store decides: the
+//! ownership is changed by compare-and-swap, and its fence rises with each change.
 
 use std::time::Duration;
 
@@ -25,44 +25,44 @@
 
 /// HEARTBEAT_MS is the time between two heartbeats.
 const HEARTBEAT_MS: u64 = 250;
-/// FREQUENT_FOLLOWERS is how many daemons, those that would take over first, send a heartbeat each
-/// time. The others' would be of no use sooner: they wait for seconds before they take
-/// over. 96 followers on one interval send 390 heartbeats a second; without most of them,
-/// and with fewer log lines, an owner of 0.12 cores served 0.66 instead of 0.51 of a day.
+/// FREQUENT_FOLLOWERS is how many daemons, those of the highest rank, send a heartbeat
+/// every [`HEARTBEAT_MS`]. The others wait for seconds before they take over, so faster
+/// detection does not help them. 96 followers on one interval send 390 heartbeats a second.
+/// Without most of them, and with fewer log lines, the goodput under an owner with 0.12
+/// cores rose from 0.51 to 0.66.
 const FREQUENT_FOLLOWERS: u64 = 8;
-/// SLOW_HEARTBEAT_MS is the time between two heartbeats of the others. They also bring the newest
-/// configuration to a daemon without the store.
+/// SLOW_HEARTBEAT_MS is the time between two heartbeats of all other followers. Heartbeats
+/// also bring the newest configuration to a daemon that can't reach the store.
 const SLOW_HEARTBEAT_MS: u64 = 1_500;
-/// HEARTBEAT_TIMEOUT bounds the wait for a heartbeat's answer.
+/// HEARTBEAT_TIMEOUT bounds the wait for the answer to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
-/// SILENT_MS is how long the owner may be silent before a take-over: three
-/// heartbeats and a little. A configuration that comes over a slow link takes longer, see
+/// SILENT_MS is how long the owner may leave heartbeats unanswered before a take-over:
+/// three heartbeats and a margin. Large transfers on a slow link extend it, see
 /// [`Monitor::silence_limit_ms`].
 const SILENT_MS: u64 = 900;
-/// CELL_BYTES is what the store keeps of a cell of today's users, which a new owner reads
-/// before it can do anything.
+/// CELL_BYTES is the size of the cell in the store, as seen in current deployments. A new
+/// owner reads all of it before it can act.
 const CELL_BYTES: u64 = 384 * 1024;
-/// WIRE_BITS_PER_BYTE is the number of bits that a byte of the store's answers takes: four thirds of
-/// eight in base64, and a tenth for heads.
+/// WIRE_BITS_PER_BYTE is how many bits on the link a byte of a value takes: 8 bits times
+/// four thirds for base64, and a tenth for headers.
 const WIRE_BITS_PER_BYTE: u64 = 12;
-/// STORELESS_MS is how long the owner may be without the store, while this
-/// daemon has it, before a take-over.
+/// STORELESS_MS is how long the owner may be without the store, while this daemon reaches
+/// it, before a take-over.
 const STORELESS_MS: u64 = 1_000;
-/// RANK_MS is how much longer each daemon waits than the one before it.
+/// RANK_MS is how much longer each daemon waits than the one ranked before it.
 const RANK_MS: u64 = 250;
-/// VOTE_TIMEOUT bounds the wait for another daemon's word on the owner.
+/// VOTE_TIMEOUT bounds the wait for another daemon's answer whether it reaches the owner.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(150);
-/// REGISTER_RETRY_MS is the pause before registering is tried again.
+/// REGISTER_RETRY_MS is the pause before registering is retried.
 const REGISTER_RETRY_MS: u64 = 200;
-/// PROBE_MS is the time between two cheap reads that tell whether the store
-/// answers.
+/// PROBE_MS is the time between two cheap reads that check whether the store answers.
 const PROBE_MS: u64 = 400;
 
-/// Suspicion is why a daemon would take over, and since when.
+/// Suspicion is the reason for which a daemon would take over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Suspicion {
-    /// Nobody owns the cell, or its owner gave it up or was restarted: it
-    /// orders nothing any more.
+    /// Nobody owns the cell, or its owner released it or was restarted, so that no owner
+    /// sends orders.
     Vacant,
     /// The owner does not answer.
     Silent,
@@ -70,19 +70,19 @@
     Storeless,
 }
 
-/// Monitor sends heartbeats and takes over when it has to.
+/// Monitor sends heartbeats to the owner and takes the cell over when the owner fails.
 struct Monitor<P> {
     node: Node<P>,
     suspicion: Option<(Suspicion, Millis)>,
-    /// When the last heartbeat was sent.
+    /// When this daemon last sent a heartbeat.
     sent: Millis,
-    /// The fence of the owner that last answered.
+    /// The fence of the owner that last answered a heartbeat.
     answered: u64,
     storeless_since: Option<Millis>,
 }
 
-/// run registers this daemon, follows the others and watches over the owner,
-/// for the life of the process.
+/// run registers this daemon, follows the cluster and monitors the owner for the life of
+/// the process.
 pub(crate) async fn run<P: Platform>(node: Node<P>) {
     register(&node).await;
     tokio::task::spawn_local(follow(node.clone(), Cluster { node: node.clone() }, None));
@@ -128,13 +128,14 @@
 async fn probe<P: Platform>(node: Node<P>) {
     loop {
         pause(PROBE_MS).await;
-        // The outcome is kept by the node.
+        // store_probe records the outcome.
         drop(node.store_probe(OWNER).await);
     }
 }
 
 impl<P: Platform> Node<P> {
-    /// alive answers a heartbeat.
+    /// alive answers a heartbeat. If the follower knows a later fence, this daemon gives up
+    /// the cell.
     pub(crate) fn alive(&self, heartbeat: &Heartbeat) -> Alive {
         let fence = self
             .owned
@@ -153,7 +154,9 @@
         }
     }
 
-    /// has_owner_contact tells whether the owner with this fence was heard lately.
+    /// has_owner_contact answers another daemon's vote request: it reports whether the
+    /// owner with `fence` was reachable from here within half of [`SILENT_MS`], or has
+    /// already been replaced.
     pub(crate) fn has_owner_contact(&self, fence: u64) -> bool {
         let known = self
             .owned
@@ -164,9 +167,9 @@
             || known == fence && self.mono().since(self.last_contact.get()) < SILENT_MS / 2
     }
 
-    /// unloaded returns the ownership if the store shows it as this daemon's and
-    /// the cell was not read: the answer to the swap was lost, and the daemon
-    /// learnt of it later.
+    /// unloaded returns the ownership if the store shows it as this daemon's but the cell
+    /// was not loaded. This happens when the answer to the swap was lost and the daemon
+    /// learned of its success later.
     fn unloaded(&self) -> Option<Owned> {
         let owned = self.owned.borrow().clone()?;
         let ownership = &owned.ownership;
@@ -208,7 +211,7 @@
         }
     }
 
-    /// check tells whether something speaks against the owner.
+    /// check returns the reason to take over from the owner, if there is one.
     async fn check(&mut self, owned: &Owned) -> Option<Suspicion> {
         let ownership = &owned.ownership;
         if ownership.boot == self.node.boot {
@@ -232,9 +235,9 @@
         }
     }
 
-    /// is_owner_gone tells whether the owner's process has ended: another one has registered on its
-    /// VM since. An entry that is older than the ownership tells nothing, as news of the two
-    /// come by different ways.
+    /// is_owner_gone reports whether the owner's process has ended: a new process has
+    /// registered on the owner's VM since. An entry that is older than the ownership proves
+    /// nothing, as the two can be learned of in either order.
     fn is_owner_gone(&self, owned: &Owned) -> bool {
         let members = self.node.members.borrow();
         let entry = members.get(&owned.ownership.vm);
@@ -242,7 +245,7 @@
         entry.is_some_and(|entry| entry.revision > owned.revision && restarted(entry))
     }
 
-    /// is_heartbeat_due tells whether to send a heartbeat now.
+    /// is_heartbeat_due reports whether to send a heartbeat now.
     fn is_heartbeat_due(&self, owned: &Owned) -> bool {
         let waited_ms = self.node.mono().since(self.sent);
         self.suspicion.is_some()
@@ -254,10 +257,11 @@
         self.node.mono().since(self.node.last_contact.get()) >= self.silence_limit_ms()
     }
 
-    /// silence_limit_ms returns for how long the owner may be silent. A new configuration comes
-    /// to all daemons at once and is held up by nothing, so an owner on a slow link is
-    /// silent while its own comes: for one second with 256 KB on 2 Mbit/s. A take-over
-    /// would bring another owner that waits as long, and cost all the same.
+    /// silence_limit_ms returns how long the owner may leave heartbeats unanswered. All
+    /// daemons receive a new configuration at once, with no delay between them, so an owner
+    /// on a slow link does not answer while it receives its own copy: one second for 256 KB
+    /// on 2 Mbit/s. Taking over then is a cost without a gain, as the new owner would be
+    /// held up for as long.
     fn silence_limit_ms(&self) -> u64 {
         let config = self.node.config_item.borrow();
         let bytes = config.as_ref().map_or(0, |item| item.value.len() as u64);
@@ -273,7 +277,8 @@
         SILENT_MS + bytes * WIRE_BITS_PER_BYTE / kbps
     }
 
-    /// has_answered tells whether the owner has answered since it took the cell over.
+    /// has_answered reports whether the owner has answered a heartbeat since it took the
+    /// cell over.
     fn has_answered(&self, owned: &Owned) -> bool {
         self.answered == owned.ownership.fence
     }
@@ -313,8 +318,8 @@
         }
     }
 
-    /// rank returns this daemon's place among those that could take over:
-    /// larger VMs first, as an owner's work grows with its cell.
+    /// rank returns how many daemons would take over before this one. Larger VMs come
+    /// first, as an owner's work grows with its cell.
     fn rank(&self, owned: Option<&Owned>) -> u64 {
         let owner = owned.map(|owned| &owned.ownership);
         if owner.is_some_and(|owner| owner.vm == self.node.settings.vm) {
@@ -335,7 +340,8 @@
         members.filter(before).count() as u64
     }
 
-    /// take_over tries to own the cell, unless others still hear its owner.
+    /// take_over tries to become the owner, unless other daemons still reach the present
+    /// one.
     async fn take_over(&mut self, suspicion: Suspicion, owned: Option<Owned>) {
         let fence = owned.as_ref().map_or(0, |owned| owned.ownership.fence);
         let needs_votes = suspicion == Suspicion::Silent && !self.is_disabled(Mechanism::Votes);
@@ -345,7 +351,7 @@
             return;
         }
         let text = format!(
-            "taking over: owner is {suspicion:?}, last heard {} ms ago",
+            "taking over: owner is {suspicion:?}, last contact {} ms ago",
             self.node.mono().since(self.node.last_contact.get())
         );
         self.node.say("member", &text);
@@ -382,7 +388,8 @@
         reachable
     }
 
-    /// swap changes the ownership in the store, if nobody else did.
+    /// swap changes the ownership in the store by compare-and-swap, and loads the cell on
+    /// success.
     async fn swap(&mut self, suspicion: Suspicion, owned: Option<Owned>, fence: u64) {
         let revision = owned.as_ref().map_or(0, |owned| owned.revision);
         let Some(item) = self.write_ownership(revision, fence + 1).await else {
@@ -401,8 +408,8 @@
         }
     }
 
-    /// write_ownership writes this daemon as the owner over a revision, and
-    /// returns what the store then holds, if that is known.
+    /// write_ownership replaces the ownership at `revision` by this daemon's, and returns
+    /// the ownership that the store holds afterwards, if that is known.
     async fn write_ownership(&self, revision: u64, fence: u64) -> Option<Item> {
         let ownership = Ownership {
             vm: self.node.settings.vm.clone(),
@@ -420,7 +427,7 @@
                 value,
                 revision,
             }),
-            // An unclear swap is read back: it may have been done.
+            // The outcome of an unanswered swap is read back: it may have taken effect.
             Committed::Conflict(_) | Committed::Unknown => {
                 self.node.store_get(OWNER).await.ok().flatten()
             }
--- a/crates/stackpier-scheduler/src/metrics.rs
+++ b/crates/stackpier-scheduler/src/metrics.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the daemon counts and measures.
+//! The daemon's metrics.
 
 use opentelemetry::{
     KeyValue,
@@ -7,12 +7,12 @@
 };
 use stackpier_transport::instruments::Instruments;
 
-/// LATENCY_BOUNDS are the upper bounds of the latency buckets, in seconds.
+/// LATENCY_BOUNDS lists the upper bounds of the latency buckets, in seconds.
 const LATENCY_BOUNDS: [f64; 13] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
-/// Metrics are the instruments of one daemon.
+/// Metrics holds the instruments of one daemon.
 pub struct Metrics {
     instruments: Instruments,
     /// Answers to client accounts, by call and status.
@@ -23,19 +23,19 @@
     pub store_calls: Counter<u64>,
     /// Calls to workers, by call and outcome.
     pub worker_calls: Counter<u64>,
-    /// Calls to workers that another daemon was asked to send, by call and whether an
-    /// answer came.
+    /// Calls to workers forwarded through another daemon, by call and whether an answer
+    /// arrived.
     pub passed_calls: Counter<u64>,
-    /// Decisions, by part.
+    /// Decisions of the cell, by part.
     pub decisions: Counter<u64>,
-    /// Ownerships won and lost.
+    /// Times that this daemon came to own the cell.
     pub ownerships: Counter<u64>,
-    /// Runs that hold room on workers; zero on followers.
+    /// Runs that occupy capacity on workers; zero on followers.
     pub running: Gauge<u64>,
     /// Tasks that wait to be placed; zero on followers.
     pub waiting: Gauge<u64>,
-    /// For how long a job has had nothing running though its turn has come, the
-    /// longest of all, in milliseconds; zero on followers.
+    /// The longest time for which a ready step has had nothing running, in milliseconds;
+    /// zero on followers.
     pub longest_wait: Gauge<u64>,
 }
 
@@ -47,7 +47,7 @@
         let count = |name| instruments.counter(name);
         let gauge = |name| {
             let gauge = meter.u64_gauge(name).build();
-            // A gauge shows once it has a value, and followers never set one.
+            // A gauge is exported only once it has a value, and followers never set one.
             gauge.record(0, &[]);
             gauge
         };
--- a/crates/stackpier-scheduler/src/node.rs
+++ b/crates/stackpier-scheduler/src/node.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What all tasks of a daemon share: its settings, its view of the other
-//! daemons and of the configuration, and the cell if it owns it.
+//! State shared by all tasks of a daemon: settings, its view of the other daemons and of
+//! the configuration, and the cell if this daemon owns it.
 
 use std::{
     cell::{Cell as Slot, RefCell},
@@ -28,38 +28,38 @@
     store::{Committed, Item, Listing, Transaction, Watched},
 };
 
-/// STORE_FRESH_MS is how long an answer of the store counts as a sign that it
-/// can be reached.
+/// STORE_FRESH_MS is how long after its last answer the store counts as reachable.
 const STORE_FRESH_MS: u64 = 1_000;
 
-/// Node is a handle on the daemon's shared state.
+/// Node is a cheaply cloned handle on the daemon's shared state.
 pub struct Node<P> {
     inner: Rc<Inner<P>>,
 }
 
-/// Owned is the ownership of the cell as last read, with its revision.
+/// Owned is the ownership of the cell as last read from the store, with its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Owned {
     pub ownership: Ownership,
     pub revision: u64,
 }
 
-/// Registered is a daemon's entry as last read, with its revision.
+/// Registered is a daemon's entry as last read from the store, with its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Registered {
     pub member: Member,
     pub revision: u64,
 }
 
-/// Swap is the write by which this daemon took the cell over, or tried to.
+/// Swap is this daemon's latest compare-and-swap of the ownership, whether or not it
+/// succeeded.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Swap {
     pub fence: u64,
-    /// When it was first sent: if it was done, then not before.
+    /// When it was first sent. If it took effect, it did so no earlier.
     pub sent: Millis,
 }
 
-/// Inner is the shared state.
+/// Inner holds the state behind a [`Node`].
 pub struct Inner<P> {
     pub(crate) settings: Settings,
     pub(crate) platform: P,
@@ -70,33 +70,34 @@
     pub(crate) links: Links,
     pub(crate) relays: Relays,
     pub(crate) config: RefCell<Option<Rc<Config>>>,
-    /// The plans of maintenance that operators wrote.
+    /// The maintenance plans that operators wrote.
     pub(crate) plans: RefCell<Vec<Plan>>,
-    /// The configuration's item, to pass it on to peers.
+    /// The store's item of the configuration in force, as sent to peers that ask for it.
     pub(crate) config_item: RefCell<Option<Item>>,
     pub(crate) members: RefCell<BTreeMap<String, Registered>>,
     pub(crate) owned: RefCell<Option<Owned>>,
     pub(crate) owner: RefCell<Option<Owner>>,
-    /// What this daemon could not save while it owned the cell, until its successor has it.
+    /// What this daemon could not save while it owned the cell. It is kept until the
+    /// successor has received it.
     pub(crate) unsaved: RefCell<Vec<Unsaved>>,
-    /// The last swap of the ownership.
+    /// The latest compare-and-swap of the ownership by this daemon.
     pub(crate) swap: Slot<Swap>,
-    /// Whether this daemon is reading the cell that it owns.
+    /// Whether this daemon owns the cell and is still reading it from the store.
     pub(crate) loading: Slot<bool>,
-    /// The highest fence that was found to be outdated while this daemon owned
-    /// the cell with it.
+    /// The highest fence with which this daemon owned the cell and lost it to a later one.
     pub(crate) outdated: Slot<u64>,
     pub(crate) store: StoreHealth,
-    /// When the owner was last heard.
+    /// When the owner last answered a heartbeat, was last reported reachable by another
+    /// daemon, or became known as the owner.
     pub(crate) last_contact: Slot<Millis>,
     pub(crate) stopping: Slot<bool>,
-    /// When this daemon ends, once it was told to stop.
+    /// When this daemon exits at the latest, set once it is stopping.
     pub(crate) ends_at: Slot<Option<Millis>>,
     pub(crate) open_requests: Slot<usize>,
     clock: Steady,
 }
 
-/// StoreHealth tells when the store last answered and last did not.
+/// StoreHealth records when the store last answered and last failed.
 #[derive(Debug, Default)]
 pub(crate) struct StoreHealth {
     answered: Slot<Millis>,
@@ -122,7 +123,7 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// new builds the state of a daemon that has just started.
+    /// new creates the state of a daemon that has just started.
     pub fn new(settings: Settings, platform: P, log: Logger) -> anyhow::Result<Node<P>> {
         let limit = RateLimit::new(settings.milli_cores);
         let inner = Inner {
@@ -156,7 +157,7 @@
         })
     }
 
-    /// now returns the time.
+    /// now returns the current time on the steady clock and on the Unix clock.
     pub(crate) fn now(&self) -> Now {
         Now {
             mono: self.mono(),
@@ -164,13 +165,14 @@
         }
     }
 
-    /// mono returns the time on the own steady clock. It starts above zero, so that zero
-    /// stands for never.
+    /// mono returns the time on this daemon's steady clock. The clock starts above zero, so
+    /// that zero can stand for "never".
     pub(crate) fn mono(&self) -> Millis {
         self.clock.now()
     }
 
-    /// record_swap notes that the ownership is about to be swapped.
+    /// record_swap records when the ownership is first swapped to a fence. A retry with the
+    /// same fence keeps the time of the first.
     pub(crate) fn record_swap(&self, fence: u64) {
         if self.swap.get().fence != fence {
             let sent = self.mono();
@@ -178,8 +180,9 @@
         }
     }
 
-    /// owned_since returns the latest time at which this daemon is known to have
-    /// owned the cell with a fence, before the cell was read.
+    /// owned_since returns the latest time at which this daemon is known to have owned the
+    /// cell with `fence`. A new owner uses it before it has confirmed its ownership with
+    /// the store.
     pub(crate) fn owned_since(&self, fence: u64) -> Millis {
         let swap = self.swap.get();
         if swap.fence == fence {
@@ -189,18 +192,21 @@
         }
     }
 
-    /// say writes a log line of a part, within the part's rate.
+    /// say writes a log line for a part, within the part's rate limit.
     pub(crate) fn say(&self, part: &'static str, text: &str) {
         self.say_of(part, None, text);
     }
 
-    /// say_of writes a log line about a job, task or other subject.
+    /// say_of does the same for a line about a subject, such as a job or a task.
     pub(crate) fn say_of(&self, part: &'static str, subject: Option<String>, text: &str) {
         match self.limit.check(self.mono(), part) {
             Admission::Omit => {}
             Admission::Write(omitted) => {
                 if omitted > 0 {
-                    warn!(self.log, "log: {} lines of part {} left out", omitted, part);
+                    warn!(
+                        self.log,
+                        "log: {} lines of part {} dropped by the rate limit", omitted, part
+                    );
                 }
                 let subject = subject.unwrap_or_default();
                 info!(self.log, "{}: {}", part, text; "subject" => subject, "at_ms" => self.mono().0);
@@ -208,19 +214,19 @@
         }
     }
 
-    /// is_ready tells whether this daemon can take jobs now.
+    /// is_ready reports whether this daemon can accept jobs now.
     pub fn is_ready(&self) -> bool {
         let known = self.config.borrow().is_some() && self.owned.borrow().is_some();
         known && !self.stopping.get() && self.store_answers()
     }
 
-    /// store_answers tells whether the store answered lately.
+    /// store_answers reports whether the store answered within [`STORE_FRESH_MS`].
     pub(crate) fn store_answers(&self) -> bool {
         let answered = self.store.answered.get();
         answered > Millis(0) && self.mono().since(answered) < STORE_FRESH_MS
     }
 
-    /// is_owner tells whether this daemon owns the cell and has it loaded.
+    /// is_owner reports whether this daemon owns the cell and has loaded it.
     pub(crate) fn is_owner(&self) -> bool {
         self.owner.borrow().is_some()
     }
@@ -246,9 +252,10 @@
         }
     }
 
-    /// record_store_timeout takes in that a call was not answered in time. One that waited behind a long
-    /// answer on the link does not show that the store is away: what is sent anew then begins
-    /// from the beginning, and a large configuration never comes over a slow link.
+    /// record_store_timeout records that a call was not answered in time. If a long answer
+    /// is being received, the call only waited behind it on the link and the store counts
+    /// as reachable. Treating it as lost would restart the transfer from the beginning, and
+    /// a large configuration would never arrive over a slow link.
     fn record_store_timeout(&self, call: &'static str, why: &str) {
         if self.platform.is_coming() {
             self.store.answered.set(self.mono());
@@ -261,7 +268,7 @@
         self.store.failed.set(self.mono());
         if !self.store.lost.replace(true) {
             let since = self.mono().since(self.store.answered.get());
-            let text = format!("the store failed a {call}: {why}; last answer {since} ms ago");
+            let text = format!("store call {call} failed: {why}; last answer {since} ms ago");
             self.say("store", &text);
         }
     }
@@ -314,7 +321,7 @@
     }
 }
 
-/// pause waits some milliseconds.
+/// pause sleeps for `ms` milliseconds.
 pub(crate) async fn pause(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
@@ -326,13 +333,13 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// begin counts a request that came in.
+    /// begin counts a request that came in and starts its timing.
     pub fn begin(&self) -> OpenRequest {
         self.open_requests.set(self.open_requests.get() + 1);
         OpenRequest { start: self.mono() }
     }
 
-    /// finish logs and counts the answer to a request.
+    /// finish logs the answer to a request and records its status and latency.
     pub fn finish(&self, open_request: OpenRequest, request: &str, status: u16, why: &str) {
         self.open_requests.set(self.open_requests.get() - 1);
         let took_ms = self.mono().since(open_request.start);
--- a/crates/stackpier-scheduler/src/owner.rs
+++ b/crates/stackpier-scheduler/src/owner.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Owning the cell: feeding it with what happens, carrying out what it decides,
-//! and giving it up.
+//! Runs the cell while this daemon owns it: feeds it events, carries out its effects, and
+//! gives it up when another daemon owns it.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -19,7 +19,7 @@
 /// TICK_MS is the time between two ticks of the cell.
 const TICK_MS: u64 = 50;
 
-/// Owner is the cell with what its owner needs to save it.
+/// Owner holds the cell and what is needed to save it to the store.
 pub(crate) struct Owner {
     pub cell: Cell,
     pub fence: u64,
@@ -28,7 +28,7 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// feed_queues tells the cell the queues of the configuration.
+    /// feed_queues passes the queues of the current configuration to the cell.
     pub(crate) fn feed_queues(&self) {
         let config = self.config.borrow().clone();
         let fence = self.owner.borrow().as_ref().map(|owner| owner.fence);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// feed_plans tells the cell the plans of maintenance.
+    /// feed_plans passes the maintenance plans to the cell.
     pub(crate) fn feed_plans(&self) {
         let fence = self.owner.borrow().as_ref().map(|owner| owner.fence);
         if let Some(fence) = fence {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// is_at tells whether this daemon still owns the cell with this fence.
+    /// is_at reports whether this daemon still owns the cell with `fence`.
     pub(crate) fn is_at(&self, fence: u64) -> bool {
         self.owner
             .borrow()
@@ -60,8 +60,8 @@
             .is_some_and(|owner| owner.fence == fence)
     }
 
-    /// feed gives the cell an event and carries out what it decides. Events of
-    /// an earlier ownership are left aside.
+    /// feed passes an event to the cell and carries out the resulting effects. An event
+    /// from an earlier ownership is dropped.
     pub(crate) fn feed(&self, fence: u64, event: Event) {
         let effects = {
             let mut slot = self.owner.borrow_mut();
@@ -108,7 +108,8 @@
         tokio::task::spawn_local(task(self.clone()));
     }
 
-    /// confirm asks the store whether this daemon still owns the cell.
+    /// confirm reads the ownership from the store to confirm that this daemon still owns
+    /// the cell.
     async fn confirm(self, fence: u64) {
         let sent = self.mono();
         match self.store_get(OWNER).await {
@@ -116,7 +117,7 @@
                 self.apply_ownership(&item);
                 self.check_confirmation(fence, item.revision, sent);
             }
-            Ok(None) => self.depose(fence + 1, "the store has no owner"),
+            Ok(None) => self.depose(fence + 1, "the store holds no ownership"),
             Err(_) => {
                 if let Some(owner) = self.owner.borrow_mut().as_mut() {
                     owner.cell.confirm_failed();
@@ -125,8 +126,9 @@
         }
     }
 
-    /// check_confirmation takes in the revision of the ownership that the store showed when asked at
-    /// `sent`. One that this daemon did not write is another owner's, also if it can't be read.
+    /// check_confirmation compares the revision of the ownership, read from the store at
+    /// `sent`, with the one that this daemon wrote. Any other revision belongs to another
+    /// owner, even if its value can't be decoded.
     fn check_confirmation(&self, fence: u64, revision: u64, sent: Millis) {
         let owner = self.owner.borrow();
         let own = owner
@@ -138,12 +140,12 @@
         } else {
             self.depose(
                 fence + 1,
-                "the store has an ownership that it did not write",
+                "the ownership in the store was not written by this daemon",
             );
         }
     }
 
-    /// depose gives the cell up if it is owned with a lower fence.
+    /// depose gives up the cell if this daemon owns it with a fence lower than `fence`.
     pub(crate) fn depose(&self, fence: u64, why: &str) {
         let own = self.owner.borrow().as_ref().map(|owner| owner.fence);
         if let Some(own) = own.filter(|own| *own < fence) {
@@ -155,14 +157,14 @@
         }
     }
 
-    /// job_state returns a job's state if this daemon owns the cell and knows
-    /// the job.
+    /// job_state returns a job's state if this daemon owns the cell and the cell knows the
+    /// job.
     pub(crate) fn job_state(&self, job: key::Job) -> Option<State> {
         self.owner.borrow().as_ref()?.cell.state(job)
     }
 }
 
-/// tick lets time pass for the cell as long as this daemon owns it.
+/// tick feeds the cell time events for as long as this daemon owns it with `fence`.
 pub(crate) async fn tick<P: Platform>(node: Node<P>, fence: u64) {
     while node.is_at(fence) {
         node.feed(fence, Event::Tick);
@@ -173,7 +175,8 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// record_gauges records how full the cell is, zeros if another daemon owns it.
+    /// record_gauges records the cell's load in the metrics, or zeros if another daemon
+    /// owns the cell.
     fn record_gauges(&self) {
         let owner = self.owner.borrow();
         let cell = owner.as_ref().map(|owner| &owner.cell);
--- a/crates/stackpier-scheduler/src/saving.rs
+++ b/crates/stackpier-scheduler/src/saving.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Writing a cell's progress: each write requires that this daemon still owns
-//! the cell and that the value is the one it wrote last, so that a write whose
+//! Saves the cell's progress to the store. Each write requires that this daemon still owns
+//! the cell and that the present value is the one it last wrote, so that a write whose
 //! answer was lost can't overwrite a later one.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
@@ -16,25 +16,25 @@
     store::{Committed, Condition, Item, Put, Transaction},
 };
 
-/// MAX_PUTS is how many keys go into one transaction: with a condition for each
-/// and one for the ownership they stay within 32 entries.
+/// MAX_PUTS is how many keys a transaction writes. With a condition for each key and one
+/// for the ownership it stays within 32 entries.
 const MAX_PUTS: usize = 15;
-/// MAX_CONCURRENT is how many transactions of a save are on their way at a time. Ends are noted
-/// only after their save and are listed again until then, so a save that takes long makes
-/// more work for a busy owner.
+/// MAX_CONCURRENT is how many transactions of a save are sent concurrently. Ends of runs
+/// are acknowledged only after their save and are reported again until then, so a slow save
+/// adds work for a busy owner.
 const MAX_CONCURRENT: usize = 24;
-/// SLOW_SAVE_MS is how long a save takes that is worth a log line.
+/// SLOW_SAVE_MS is the duration from which a save is logged as slow.
 const SLOW_SAVE_MS: u64 = 500;
-/// MAX_TRIES is how often an unclear write is sent before the save fails.
+/// MAX_TRIES is how often a write with an unknown outcome is sent before the save fails.
 const MAX_TRIES: usize = 3;
-/// RETRY_MS is the pause between two tries.
+/// RETRY_MS is the pause after a write with an unknown outcome.
 const RETRY_MS: u64 = 60;
 
-/// MAX_LISTED_WORKERS is how many workers a log line names: all of a cell of today's smaller users, in a
-/// kilobyte.
+/// MAX_LISTED_WORKERS is how many workers a log line names. It covers all workers of the
+/// smaller current deployments and takes a kilobyte.
 const MAX_LISTED_WORKERS: usize = 64;
 
-/// Revisions are the last known revisions of the owner's keys.
+/// Revisions holds the last known revisions of the keys that the owner writes.
 #[derive(Debug, Default)]
 pub(crate) struct Revisions {
     keys: HashMap<String, u64>,
@@ -51,7 +51,7 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// save writes a save and tells whether all of it is in the store.
+    /// save writes a save to the store and reports whether all of it was written.
     pub(crate) async fn save(&self, fence: u64, save: Save) -> bool {
         let Some((revision, revisions)) = self.saving(fence) else {
             return false;
@@ -67,15 +67,15 @@
         self.trim(fence, revision, &save).await && self.forget(fence, revision, &save).await
     }
 
-    /// log_slow tells of a save that took long.
+    /// log_slow logs a save that took long.
     fn log_slow(&self, keys: usize, took_ms: u64) {
         if took_ms >= SLOW_SAVE_MS {
             self.say("save", &format!("a save of {keys} keys took {took_ms} ms"));
         }
     }
 
-    /// log_stored tells what the store has now: a successor knows of these ends, and waits
-    /// for the reports of these workers.
+    /// log_stored logs which finished jobs and which roster the store now holds. A
+    /// successor will know of these ends, and will wait for the reports of these workers.
     fn log_stored(&self, save: &Save) {
         for (job, progress) in &save.jobs {
             if progress.state.is_final() {
@@ -89,8 +89,8 @@
         }
     }
 
-    /// trim leaves of jobs that are over only that they were there: their state is kept
-    /// apart, and a job that is handed in again is still known.
+    /// trim replaces the records of finished jobs by an empty record. Their state is stored
+    /// under another key, and a job that is submitted again is still recognised.
     async fn trim(&self, fence: u64, owned: u64, save: &Save) -> bool {
         if save.trimmed.is_empty() {
             return true;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// puts returns what a save writes.
+    /// puts returns the keys and values that a save writes.
     fn puts(&self, save: &Save) -> Vec<Put> {
         let mut puts = Vec::new();
         if let Some(roster) = &save.roster {
@@ -131,12 +131,15 @@
         puts
     }
 
-    /// plan_put returns what operators are told of a plan.
+    /// plan_put returns the state of a maintenance plan that operators read.
     fn plan_put(&self, record: &maintenance::Record) -> Option<Put> {
         match self.platform.plan_state(record.plan, record.completed) {
             Ok(state) => Some(state),
             Err(error) => {
-                self.say("save", &format!("state of a plan: {error}"));
+                self.say(
+                    "save",
+                    &format!("cannot write the state of a maintenance plan: {error}"),
+                );
                 None
             }
         }
@@ -148,7 +151,8 @@
         Some((owner.revision, Rc::clone(&owner.revisions)))
     }
 
-    /// write_group writes a few transactions at a time and tells whether all are done.
+    /// write_group writes the puts of a group in concurrent transactions and reports
+    /// whether all of them succeeded.
     async fn write_group(
         &self,
         fence: u64,
@@ -165,7 +169,8 @@
         let writes: Vec<_> = group.chunks(MAX_PUTS).map(write).collect();
         let mut done = true;
         for write in writes {
-            // One that panicked may have been done; the next save learns of it.
+            // A write that panicked may have taken effect. The next save sees this by the
+            // conflict.
             done &= write.await.unwrap_or(false);
         }
         done
@@ -199,8 +204,8 @@
         false
     }
 
-    /// depose_if_replaced tells whether a conflict shows another owner, and gives
-    /// the cell up if it does.
+    /// depose_if_replaced gives up the cell if a conflict shows another owner, and reports
+    /// whether it does.
     fn depose_if_replaced(&self, fence: u64, owned: u64, items: &[Item]) -> bool {
         let owner = items.iter().find(|item| item.key == OWNER);
         if owner.is_some_and(|item| item.revision == owned) {
@@ -221,7 +226,7 @@
         for job in &save.forgotten {
             removals.extend([keys::job(*job), keys::cancel(*job), keys::progress(*job)]);
         }
-        // One entry is left for the condition on the ownership.
+        // One of the 32 entries is needed for the condition on the ownership.
         for chunk in removals.chunks(2 * MAX_PUTS) {
             let transaction = Transaction {
                 conditions: vec![owner_condition(owned)],
@@ -241,7 +246,8 @@
     }
 }
 
-/// describe_roster lists the ids of a roster's workers for the log, of a large one the first.
+/// describe_roster returns the number of workers in a roster and the ids of the first
+/// [`MAX_LISTED_WORKERS`], for the log.
 pub(crate) fn describe_roster(roster: &[RosterEntry]) -> String {
     let ids = roster.iter().map(|entry| entry.id.as_str());
     let first: Vec<&str> = ids.take(MAX_LISTED_WORKERS).collect();
@@ -251,7 +257,7 @@
 fn put<T: serde::Serialize>(key: String, value: &T) -> Put {
     Put {
         key,
-        value: encode(value).expect("a value of the own types is encoded"),
+        value: encode(value).expect("a value of the crate's own types can be encoded"),
     }
 }
 
@@ -276,8 +282,8 @@
     }
 }
 
-/// update_revisions takes the present revisions from a conflict: an earlier try whose
-/// answer was lost has been done.
+/// update_revisions sets the revisions to those that a conflict shows. The conflict means
+/// that an earlier try, whose answer was lost, took effect.
 fn update_revisions(revisions: &mut Revisions, puts: &[Put], items: &[Item]) {
     for put in puts {
         let present = items.iter().find(|item| item.key == put.key);
--- a/crates/stackpier-scheduler/src/settings.rs
+++ b/crates/stackpier-scheduler/src/settings.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The daemon's settings: JSON checked into types. `docs/CONFIGURATION.md`
-//! describes each.
+//! The daemon's settings: JSON parsed and validated into types. `docs/CONFIGURATION.md`
+//! describes each setting.
 
 use std::{net::SocketAddr, path::Path, result::Result as Checked};
 
@@ -12,47 +12,49 @@
 };
 use stackpier_protocol::codec::from_json;
 
-/// MAX_LEASE_MS is the longest lease that is asked for, whatever workers
-/// would grant: the tasks of a worker that died silently wait this long.
+/// MAX_LEASE_MS is the longest lease that is requested, even if workers would grant a
+/// longer one. The tasks of a worker that crashed wait for it to expire.
 const MAX_LEASE_MS: u64 = 6_000;
-/// AUTHORITY_GAP_MS is how much sooner than its leases an owner without the
-/// store gives up.
+/// AUTHORITY_GAP_MS is how much earlier than its leases expire an owner without the store
+/// gives up the cell.
 const AUTHORITY_GAP_MS: u64 = 1_000;
-/// TAKE_DOWN_MARGIN_MS is added to the gap between the orders of two owners for one
-/// host: the last one of the earlier owner may be under way.
+/// TAKE_DOWN_MARGIN_MS is added to the gap between the orders of two owners for one host,
+/// as the predecessor's last order may still be in transit.
 const TAKE_DOWN_MARGIN_MS: u64 = 500;
-/// MAX_SENDING_MS is for how long the VM's link may be busy with starts that are on their
-/// way: well below the 400 ms after which a heartbeat counts as unanswered.
+/// MAX_SENDING_MS is how long the VM's link may be busy with starts in transit. It is well
+/// below the 400 ms after which a heartbeat counts as unanswered.
 const MAX_SENDING_MS: f64 = 150.0;
-/// MAX_PROCESSING_MS is the same for its processor.
+/// MAX_PROCESSING_MS is how long the VM's processor may be busy with starts in transit.
 const MAX_PROCESSING_MS: f64 = 100.0;
-/// START_PROCESSOR_MS is the processor time of a start with its answer, on a whole core, in
-/// milliseconds. Worked out: an owner of 540 workers takes 0.09 to 0.14 cores for some 3,300
-/// starts and looks a second, decisions included.
+/// START_PROCESSOR_MS is the processor time of a start and its answer, in milliseconds of a
+/// whole core. It is derived from an owner of 540 workers, which takes 0.09 to 0.14 cores
+/// for some 3,300 starts and renewals a second, decisions included.
 const START_PROCESSOR_MS: f64 = 0.036;
-/// RENEWAL_PROCESSOR_MS is the same for a look at a worker.
+/// RENEWAL_PROCESSOR_MS is the processor time of a lease renewal and its answer, in
+/// milliseconds of a whole core.
 const RENEWAL_PROCESSOR_MS: f64 = 0.036;
-/// RENEWAL_BYTES is what a look takes of the link each way at most, in bytes: a report of
-/// eight runs.
+/// RENEWAL_BYTES is the most that a lease renewal sends over the link in each direction, in
+/// bytes: a report of eight runs.
 const RENEWAL_BYTES: f64 = 900.0;
-/// START_BYTES is what a start takes on the wire besides its payload, in bytes.
+/// START_BYTES is the size of a start on the link without its payload, in bytes.
 const START_BYTES: f64 = 450.0;
-/// BYTES_PER_MS is how many bytes a millisecond a link of one Mbit/s carries.
+/// BYTES_PER_MS is the number of bytes that a link of one Mbit/s carries in a millisecond.
 const BYTES_PER_MS: f64 = 125.0;
 /// KBPS_PER_MBPS is the number of kbit/s in one Mbit/s.
 const KBPS_PER_MBPS: f64 = 1_000.0;
-/// DEFAULT_LINK_MBPS is the link of a VM where the settings don't tell it.
+/// DEFAULT_LINK_MBPS is the bandwidth of the VM's link if the settings don't give it.
 const DEFAULT_LINK_MBPS: f64 = 1_000.0;
-/// DEFAULT_HEARTBEAT_MS is the time between two writes of a worker's entry where the settings
-/// don't tell it.
+/// DEFAULT_HEARTBEAT_MS is the time between two writes of a worker's entry if the settings
+/// don't give it.
 const DEFAULT_HEARTBEAT_MS: u64 = 1_500;
-/// ENTRY_HEARTBEATS is for how many of these times the list may show a worker that has crashed:
-/// its entry lapses after three, and the list takes less than one to reach the owner.
+/// ENTRY_HEARTBEATS is for how many heartbeats the list may still show a worker that has
+/// crashed: its entry expires after three, and the changed list reaches the owner in less
+/// than one more.
 const ENTRY_HEARTBEATS: u64 = 4;
 /// MAX_TIME_MS bounds every time in the settings.
 const MAX_TIME_MS: u64 = 600_000;
 
-/// Raw is the settings file as written.
+/// Raw is the settings file as written, before validation.
 #[derive(Clone, Debug, Deserialize)]
 struct Raw {
     vm: String,
@@ -80,48 +82,47 @@
     link_mbps: f64,
     #[serde(default = "usual_beat_ms")]
     worker_heartbeat_ms: u64,
-    /// Mechanisms of the decisions that are switched off.
+    /// Mechanisms of the scheduling decisions that are disabled.
     #[serde(default)]
     without: Vec<String>,
 }
 
-/// Settings are the checked settings of one daemon.
+/// Settings holds the validated settings of one daemon.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The VM's name.
     pub vm: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Where client accounts reach it.
+    /// The address for client accounts.
     pub callers: SocketAddr,
-    /// Where it says whether it takes requests.
+    /// The address of the readiness check.
     pub readiness: SocketAddr,
-    /// Where it listens to its peers.
+    /// The address on which it listens to its peers.
     pub peers: SocketAddr,
-    /// Where its peers reach it, if that is another address.
+    /// The address at which peers reach it: `peers` unless another one is set.
     pub advertised: SocketAddr,
-    /// Where it shows its metrics.
+    /// The address of the metrics page.
     pub metrics: SocketAddr,
     /// The platform's store.
     pub store: SocketAddr,
-    /// The adviser of queues that have one.
+    /// The adviser, for queues that have one.
     pub adviser: Option<SocketAddr>,
-    /// Where hosts are ordered down, if that is possible.
+    /// The address for taking hosts down, if that is possible.
     pub hosts: Option<SocketAddr>,
-    /// The settings of the cell's decisions.
+    /// The options of the cell's decisions.
     pub cell: stackpier_cell::Options,
-    /// The processor that the VM has, in thousandths of a core.
+    /// The VM's processor capacity, in thousandths of a core.
     pub milli_cores: u32,
-    /// The VM's link, in kbit/s.
+    /// The bandwidth of the VM's link, in kbit/s.
     pub link_kbps: u32,
-    /// What starts cost on the VM.
+    /// The costs of starts and renewals on the VM.
     pub costs: Costs,
-    /// The time from a request to stop until the process is killed, in
-    /// milliseconds.
+    /// The time from the signal to stop until the process is killed, in milliseconds.
     pub grace_ms: u64,
 }
 
-/// Costs tells for how long a VM's link and processor are busy.
+/// Costs computes how long a call to a worker keeps the VM's link or processor busy.
 #[derive(Clone, Copy, Debug)]
 pub struct Costs {
     cores: f64,
@@ -129,13 +130,14 @@
 }
 
 impl Costs {
-    /// look_ms returns the same for a look at a worker.
+    /// look_ms returns how long a lease renewal keeps the link or the processor busy,
+    /// whichever is longer, in milliseconds.
     pub fn look_ms(&self) -> f64 {
         let link_ms = RENEWAL_BYTES / (self.link_mbps * BYTES_PER_MS);
         link_ms.max(RENEWAL_PROCESSOR_MS / self.cores)
     }
 
-    /// start_ms returns for how long a start with a payload of some bytes keeps the link
+    /// start_ms returns how long a start with a payload of `payload` bytes keeps the link
     /// or the processor busy, whichever is longer, in milliseconds.
     pub fn start_ms(&self, payload: usize) -> f64 {
         let bytes = payload as f64 + START_BYTES;
@@ -145,14 +147,14 @@
 }
 
 impl Settings {
-    /// load reads and checks a settings file.
+    /// load reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Settings> {
         let unreadable = |error| Error::new(Kind::BadInput, format!("{}: {error}", path.display()));
         let text = std::fs::read(path).map_err(unreadable)?;
         Settings::parse(&text)
     }
 
-    /// parse checks the text of a settings file.
+    /// parse parses and validates the text of a settings file.
     pub fn parse(text: &[u8]) -> Result<Settings> {
         let raw: Raw = from_json(text)?;
         Ok(Settings::try_from(raw)?)
@@ -236,7 +238,7 @@
     Ok(value)
 }
 
-/// optional reads an address that may be left out.
+/// optional parses an address that may be left empty.
 fn optional(field: &str, value: &str) -> Checked<Option<SocketAddr>, Invalid> {
     match value {
         "" => Ok(None),
--- a/crates/stackpier-scheduler/src/store.rs
+++ b/crates/stackpier-scheduler/src/store.rs
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the daemon asks of the key-value store.
+//! The key-value store that the daemon needs, as a trait with its types.
 
 use std::future::Future;
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::Result;
 
-/// Item is one key with its value.
+/// Item is a key with its value and revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// The key.
@@ -17,13 +17,13 @@
     pub revision: u64,
 }
 
-/// Listing is all items under a prefix.
+/// Listing holds all items under a prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     /// The items, by key.
     pub items: Vec<Item>,
-    /// The store's revision from which a watch sees everything that the
-    /// listing may have missed.
+    /// The store's revision from which a watch sees every change that the listing may have
+    /// missed.
     pub at: u64,
 }
 
@@ -46,16 +46,16 @@
     }
 }
 
-/// Watched is the answer of a watch.
+/// Watched is the result of a watch.
 #[derive(Clone, Debug)]
 pub enum Watched {
-    /// What changed, possibly nothing, by revision, and the revision to go on from.
+    /// The changes by revision, possibly none, and the revision from which to continue.
     Changes(Vec<Change>, u64),
-    /// The history since the revision is gone: list again.
+    /// The store has compacted the history since the revision: list again.
     Compacted,
 }
 
-/// Condition requires a key to be at a revision; zero requires its absence.
+/// Condition requires a key to be at a revision. Zero requires that the key is absent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
@@ -64,7 +64,7 @@
     pub revision: u64,
 }
 
-/// Put is one key to write.
+/// Put is a key to write with its value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
     /// The key.
@@ -73,10 +73,10 @@
     pub value: Vec<u8>,
 }
 
-/// Transaction does all of its writes or none.
+/// Transaction writes all of its keys or none, if its conditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// The conditions that must hold.
     pub conditions: Vec<Condition>,
     /// Keys to write.
     pub puts: Vec<Put>,
@@ -85,7 +85,8 @@
 }
 
 impl Transaction {
-    /// swap writes one key if it is still at a revision.
+    /// swap returns the compare-and-swap of one key: it is written if it is still at
+    /// `revision`.
     pub(crate) fn swap(key: &str, revision: u64, value: Vec<u8>) -> Transaction {
         let key = key.to_owned();
         Transaction {
@@ -102,13 +103,13 @@
 /// Committed is the outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Committed {
-    /// It was done, at this revision.
+    /// The transaction was done, at this revision.
     Done(u64),
-    /// A condition did not hold: the present items of the conditions' keys.
+    /// A condition did not hold. Contains the present items of the conditions' keys.
     Conflict(Vec<Item>),
-    /// Nothing was done, as the store refused the call.
+    /// The store refused the call and did nothing.
     Refused,
-    /// There was no answer: it may have been done, or may be done later.
+    /// No answer arrived: the transaction may have been done, or may still be done later.
     Unknown,
 }
 
@@ -117,15 +118,14 @@
     /// get reads one key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>>>;
 
-    /// probe reads one key cheaply, to tell whether the store answers. The
-    /// value may be seconds old.
+    /// probe reads one key cheaply to check whether the store answers. The value may be
+    /// seconds old.
     fn probe(&self, key: &str) -> impl Future<Output = Result<()>>;
 
     /// list reads all items under a prefix.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Listing>>;
 
-    /// watch waits up to `wait_ms` for changes under a prefix after a
-    /// revision.
+    /// watch waits up to `wait_ms` for changes under a prefix after the revision `after`.
     fn watch(
         &self,
         prefix: &str,
@@ -133,10 +133,10 @@
         wait_ms: u64,
     ) -> impl Future<Output = Result<Watched>>;
 
-    /// is_coming tells whether a long answer comes just now, so that other calls wait behind
-    /// it on the link.
+    /// is_coming reports whether a long answer is being received, so that other calls wait
+    /// behind it on the link.
     fn is_coming(&self) -> bool;
 
-    /// commit does a transaction.
+    /// commit sends a transaction and returns its outcome.
     fn commit(&self, transaction: &Transaction) -> impl Future<Output = Committed>;
 }
--- a/crates/stackpier-scheduler/src/watch.rs
+++ b/crates/stackpier-scheduler/src/watch.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Following a prefix of the store: a listing, then its changes, for as long
-//! as the follower is wanted.
+//! Follows a prefix of the store: a listing first, then its changes, for as long as the
+//! follower is wanted.
 
 use stackpier_core::Result;
 
@@ -10,31 +10,31 @@
     store::{Change, Item, Watched},
 };
 
-/// WAIT_MS is how long a watch waits. A cut may swallow its answer without a
-/// sign, and its connection may go silent while no other call notices. With what
-/// a watch may take beyond its wait (450 ms) and the pause after it, a new
-/// connection is tried within 2.9 s: before the three seconds after which users
-/// take a daemon to be in touch again.
+/// WAIT_MS is how long a watch waits for changes. A network cut can lose its answer without
+/// an error, while no other call notices that the connection is dead. With the 450 ms that
+/// a watch may take beyond its wait, and the pause after it, a new connection is tried
+/// within 2.9 s. That is below the three seconds after which operators expect a daemon to
+/// be connected again.
 const WAIT_MS: u64 = 2_200;
-/// BUSY_CHANGES is the number of changes in one answer from which the next watch follows at once.
-/// 3,000 workers that write their entries every 1.5 s make 2,000 changes a second. If
-/// an answer holds 500 at most, as a page of a listing does, a watch that pauses for 250 ms
-/// after each falls behind, and workers that are leaving get starts.
+/// BUSY_CHANGES is the number of changes in one answer from which the next watch is sent
+/// without a pause. 3,000 workers that write their entries every 1.5 s make 2,000 changes a
+/// second. If an answer holds at most 500, the page size of a listing, a watch that pauses
+/// for 250 ms after each answer falls behind, and workers that are leaving get starts.
 const BUSY_CHANGES: usize = 200;
-/// RETRY_MS is the pause after a call that failed.
+/// RETRY_MS is the pause after a failed call.
 const RETRY_MS: u64 = 250;
 
-/// Update is what a follower is told.
+/// Update is what a follower receives.
 #[derive(Clone, Debug)]
 pub(crate) enum Update {
-    /// All items there are: whatever else was known is gone.
+    /// All present items: any other item that was known is gone.
     All(Vec<Item>),
-    /// What changed since.
+    /// The changes since the last update.
     Changes(Vec<Change>),
 }
 
 impl Update {
-    /// into_items returns the items that are there or new, without removals.
+    /// into_items returns the items that are present or new, without removals.
     pub(crate) fn into_items(self) -> Vec<Item> {
         let put = |change| match change {
             Change::Put(item) => Some(item),
@@ -47,32 +47,32 @@
     }
 }
 
-/// Follower takes what a watch brings.
+/// Follower receives the items under a prefix and their changes.
 pub(crate) trait Follower {
-    /// prefix returns what is followed.
+    /// prefix returns the prefix to follow.
     fn prefix(&self) -> &str;
 
-    /// take takes in news.
+    /// apply handles an update.
     fn apply(&mut self, update: Update);
 
-    /// is_wanted tells whether to go on.
+    /// is_wanted reports whether to keep following.
     fn is_wanted(&self) -> bool;
 
-    /// wants_latest_only tells whether only the newest value of a key counts: if a watch brings several
-    /// values of one, the next read is a listing.
+    /// wants_latest_only reports whether only the newest value of a key matters. If a watch
+    /// then brings several values of one key, the next read is a listing.
     fn wants_latest_only(&self) -> bool {
         false
     }
 
-    /// pause_ms returns the pause between two watches, so that changes come
-    /// together.
+    /// pause_ms returns the pause between two watches, which lets changes arrive in
+    /// batches.
     fn pause_ms(&self) -> u64 {
         0
     }
 }
 
-/// follow feeds a follower until it is no longer wanted. `after` is the
-/// revision of a listing that it already has.
+/// follow updates a follower until it is no longer wanted. `after` is the revision of a
+/// listing that the follower already has.
 pub(crate) async fn follow<P: Platform, F: Follower>(
     node: Node<P>,
     mut follower: F,
@@ -105,22 +105,25 @@
 ) -> Result<Option<u64>> {
     let watched = tokio::select! {
         watched = node.store_watch(follower.prefix(), after, WAIT_MS) => watched?,
-        // What was sent while the store was away may never be answered.
+        // A watch sent while the store was unreachable may never be answered.
         () = node.wait_for_store() => return Ok(Some(after)),
     };
     match watched {
         Watched::Compacted => {
             node.say(
                 "watch",
-                &format!("history of {} is gone, listing again", follower.prefix()),
+                &format!(
+                    "the store compacted the history of {}, listing again",
+                    follower.prefix()
+                ),
             );
             Ok(None)
         }
         Watched::Changes(changes, at) => {
             let behind = follower.wants_latest_only() && has_repeats(&changes);
             let count = changes.len();
-            let news = count > 0;
-            if news && follower.is_wanted() {
+            let has_changes = count > 0;
+            if has_changes && follower.is_wanted() {
                 follower.apply(Update::Changes(changes));
                 if count < BUSY_CHANGES {
                     pause(follower.pause_ms()).await;
@@ -131,7 +134,8 @@
     }
 }
 
-/// has_repeats tells whether several changes are of one key: the watch lags behind.
+/// has_repeats reports whether several changes concern the same key, a sign that the watch
+/// lags behind.
 fn has_repeats(changes: &[Change]) -> bool {
     let mut keys: Vec<&str> = changes.iter().map(Change::key).collect();
     keys.sort_unstable();
