--- a/crates/stackpier-scheduler/src/handover.rs
+++ b/crates/stackpier-scheduler/src/handover.rs
@@ -17,8 +17,8 @@
     owner::Owner,
 };
 
-/// QUERY_TIMEOUT bounds the wait for the predecessor's answer. Inherited tasks wait as
-/// long.
+/// QUERY_TIMEOUT bounds the wait for the predecessor's answer. Inherited tasks wait until
+/// the answer or this timeout.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(350);
 /// RETRY_MS is the pause before a message to the successor is sent again.
 const RETRY_MS: u64 = 200;
@@ -101,8 +101,8 @@
     /// the answer to the cell.
     pub(crate) async fn query_predecessor(&self, fence: u64, address: &str) {
         let request = Request::Unsaved(fence);
-        let asked = self.links.call(address, &request, QUERY_TIMEOUT).await;
-        let unsaved = match asked {
+        let answer = self.links.call(address, &request, QUERY_TIMEOUT).await;
+        let unsaved = match answer {
             Ok(Response::Unsaved(unsaved)) => unsaved,
             other => {
                 let text = format!("the predecessor did not send its unsaved jobs: {other:?}");
--- a/crates/stackpier-scheduler/src/member.rs
+++ b/crates/stackpier-scheduler/src/member.rs
@@ -25,11 +25,11 @@
 
 /// HEARTBEAT_MS is the time between two heartbeats.
 const HEARTBEAT_MS: u64 = 250;
-/// FREQUENT_FOLLOWERS is how many daemons, those of the highest rank, send a heartbeat
-/// every [`HEARTBEAT_MS`]. The others wait for seconds before they take over, so faster
-/// detection does not help them. 96 followers on one interval send 390 heartbeats a second.
-/// Without most of them, and with fewer log lines, the goodput under an owner with 0.12
-/// cores rose from 0.51 to 0.66.
+/// FREQUENT_FOLLOWERS is how many daemons, those that would take over first, send a
+/// heartbeat every [`HEARTBEAT_MS`]. The others wait for seconds before they take over, so
+/// faster detection does not help them. 96 followers on one interval send 390 heartbeats a
+/// second. Without most of them, and with fewer log lines, the goodput under an owner with
+/// 0.12 cores rose from 0.51 to 0.66.
 const FREQUENT_FOLLOWERS: u64 = 8;
 /// SLOW_HEARTBEAT_MS is the time between two heartbeats of all other followers. Heartbeats
 /// also bring the newest configuration to a daemon that can't reach the store.
@@ -58,9 +58,9 @@
 /// PROBE_MS is the time between two cheap reads that check whether the store answers.
 const PROBE_MS: u64 = 400;
 
-/// Suspicion is the reason for which a daemon would take over.
+/// Reason is why a daemon would take the cell over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Suspicion {
+enum Reason {
     /// Nobody owns the cell, or its owner released it or was restarted, so that no owner
     /// sends orders.
     Vacant,
@@ -73,7 +73,7 @@
 /// Monitor sends heartbeats to the owner and takes the cell over when the owner fails.
 struct Monitor<P> {
     node: Node<P>,
-    suspicion: Option<(Suspicion, Millis)>,
+    reason: Option<(Reason, Millis)>,
     /// When this daemon last sent a heartbeat.
     sent: Millis,
     /// The fence of the owner that last answered a heartbeat.
@@ -89,7 +89,7 @@
     tokio::task::spawn_local(probe(node.clone()));
     let mut monitor = Monitor {
         node: node.clone(),
-        suspicion: None,
+        reason: None,
         sent: Millis(0),
         answered: 0,
         storeless_since: None,
@@ -180,6 +180,9 @@
 }
 
 impl<P: Platform> Monitor<P> {
+    /// check_and_take_over runs once per [`HEARTBEAT_MS`]. It loads the cell if this daemon
+    /// owns it without having loaded it. Otherwise it checks the owner, and takes over once a
+    /// reason to do so has lasted for as long as this daemon's rank requires.
     async fn check_and_take_over(&mut self) {
         self.node.size_relays();
         if let Some(own) = self.node.unloaded() {
@@ -192,33 +195,33 @@
         }
         let owned = self.node.owned.borrow().clone();
         let now = self.node.mono();
-        let suspicion = match &owned {
+        let reason = match &owned {
             _ if self.node.members.borrow().is_empty() => None,
-            None => Some(Suspicion::Vacant),
+            None => Some(Reason::Vacant),
             Some(owned) => self.check(owned).await,
         };
-        self.suspicion = match (suspicion, self.suspicion) {
+        self.reason = match (reason, self.reason) {
             (Some(new), Some((old, since))) if new == old => Some((old, since)),
             (Some(new), _) => Some((new, now)),
             (None, _) => None,
         };
-        let Some((suspicion, since)) = self.suspicion else {
+        let Some((reason, since)) = self.reason else {
             return;
         };
         let delay = self.rank(owned.as_ref()) * RANK_MS;
         if self.node.mono().since(since) >= delay && self.node.store_answers() {
-            self.take_over(suspicion, owned).await;
+            self.take_over(reason, owned).await;
         }
     }
 
     /// check returns the reason to take over from the owner, if there is one.
-    async fn check(&mut self, owned: &Owned) -> Option<Suspicion> {
+    async fn check(&mut self, owned: &Owned) -> Option<Reason> {
         let ownership = &owned.ownership;
         if ownership.boot == self.node.boot {
-            return ownership.released.then_some(Suspicion::Vacant);
+            return ownership.released.then_some(Reason::Vacant);
         }
         if ownership.released || self.is_owner_gone(owned) {
-            return Some(Suspicion::Vacant);
+            return Some(Reason::Vacant);
         }
         if !self.is_heartbeat_due(owned) {
             return None;
@@ -231,7 +234,7 @@
                 self.answered = ownership.fence;
                 self.check_store(alive, now)
             }
-            _ => self.is_silent().then_some(Suspicion::Silent),
+            _ => self.is_silent().then_some(Reason::Silent),
         }
     }
 
@@ -248,7 +251,7 @@
     /// is_heartbeat_due reports whether to send a heartbeat now.
     fn is_heartbeat_due(&self, owned: &Owned) -> bool {
         let waited_ms = self.node.mono().since(self.sent);
-        self.suspicion.is_some()
+        self.reason.is_some()
             || waited_ms >= SLOW_HEARTBEAT_MS
             || self.rank(Some(owned)) < FREQUENT_FOLLOWERS
     }
@@ -283,14 +286,14 @@
         self.answered == owned.ownership.fence
     }
 
-    fn check_store(&mut self, alive: Alive, now: Millis) -> Option<Suspicion> {
+    fn check_store(&mut self, alive: Alive, now: Millis) -> Option<Reason> {
         if alive.store || !self.node.store_answers() {
             self.storeless_since = None;
             return None;
         }
         let since = *self.storeless_since.get_or_insert(now);
         let replaced = !self.is_disabled(Mechanism::Storeless);
-        (replaced && now.since(since) >= STORELESS_MS).then_some(Suspicion::Storeless)
+        (replaced && now.since(since) >= STORELESS_MS).then_some(Reason::Storeless)
     }
 
     async fn heartbeat(&self, ownership: &Ownership) -> Option<Alive> {
@@ -342,21 +345,21 @@
 
     /// take_over tries to become the owner, unless other daemons still reach the present
     /// one.
-    async fn take_over(&mut self, suspicion: Suspicion, owned: Option<Owned>) {
+    async fn take_over(&mut self, reason: Reason, owned: Option<Owned>) {
         let fence = owned.as_ref().map_or(0, |owned| owned.ownership.fence);
-        let needs_votes = suspicion == Suspicion::Silent && !self.is_disabled(Mechanism::Votes);
+        let needs_votes = reason == Reason::Silent && !self.is_disabled(Mechanism::Votes);
         if needs_votes && self.is_reachable_by_others(&owned, fence).await {
-            self.suspicion = None;
+            self.reason = None;
             self.node.last_contact.set(self.node.mono());
             return;
         }
         let text = format!(
-            "taking over: owner is {suspicion:?}, last contact {} ms ago",
+            "taking over: owner is {reason:?}, last contact {} ms ago",
             self.node.mono().since(self.node.last_contact.get())
         );
         self.node.say("member", &text);
-        self.suspicion = None;
-        self.swap(suspicion, owned, fence).await;
+        self.reason = None;
+        self.swap(reason, owned, fence).await;
     }
 
     fn is_disabled(&self, mechanism: Mechanism) -> bool {
@@ -371,18 +374,18 @@
             .into_values()
             .map(|entry| entry.member)
             .filter(|member| member.vm != *own && Some(&member.vm) != owner.as_ref());
-        let asked: Vec<_> = others
+        let votes: Vec<_> = others
             .map(|member| {
                 let node = self.node.clone();
                 tokio::task::spawn_local(async move {
                     let request = Request::Heard(fence);
-                    let asked = node.links.call(&member.address, &request, VOTE_TIMEOUT);
-                    matches!(asked.await, Ok(Response::Flag(true)))
+                    let vote = node.links.call(&member.address, &request, VOTE_TIMEOUT);
+                    matches!(vote.await, Ok(Response::Flag(true)))
                 })
             })
             .collect();
         let mut reachable = false;
-        for answer in asked {
+        for answer in votes {
             reachable |= answer.await.unwrap_or(false);
         }
         reachable
@@ -390,7 +393,7 @@
 
     /// swap changes the ownership in the store by compare-and-swap, and loads the cell on
     /// success.
-    async fn swap(&mut self, suspicion: Suspicion, owned: Option<Owned>, fence: u64) {
+    async fn swap(&mut self, reason: Reason, owned: Option<Owned>, fence: u64) {
         let revision = owned.as_ref().map_or(0, |owned| owned.revision);
         let Some(item) = self.write_ownership(revision, fence + 1).await else {
             return;
@@ -401,7 +404,7 @@
         let own = |won: &Owned| won.ownership.boot == boot && !won.ownership.released;
         if let Some(won) = won.filter(own) {
             let predecessor = Predecessor {
-                may_act: suspicion != Suspicion::Vacant,
+                may_act: reason != Reason::Vacant,
                 address: owned.map(|owned| owned.ownership.address),
             };
             self.node.load(won, predecessor).await;
--- a/crates/stackpier-scheduler/src/node.rs
+++ b/crates/stackpier-scheduler/src/node.rs
@@ -171,8 +171,8 @@
         self.clock.now()
     }
 
-    /// record_swap records when the ownership is first swapped to a fence. A retry with the
-    /// same fence keeps the time of the first.
+    /// record_swap records the time at which the swap of the ownership to `fence` is first
+    /// sent. A retry with the same fence keeps that time.
     pub(crate) fn record_swap(&self, fence: u64) {
         if self.swap.get().fence != fence {
             let sent = self.mono();
@@ -197,7 +197,8 @@
         self.say_of(part, None, text);
     }
 
-    /// say_of does the same for a line about a subject, such as a job or a task.
+    /// say_of writes a log line about a subject, such as a job or a task, within the same
+    /// limit.
     pub(crate) fn say_of(&self, part: &'static str, subject: Option<String>, text: &str) {
         match self.limit.check(self.mono(), part) {
             Admission::Omit => {}
--- a/crates/stackpier-scheduler/src/owner.rs
+++ b/crates/stackpier-scheduler/src/owner.rs
@@ -164,7 +164,8 @@
     }
 }
 
-/// tick feeds the cell time events for as long as this daemon owns it with `fence`.
+/// tick feeds the cell a tick every [`TICK_MS`] for as long as this daemon owns it with
+/// `fence`.
 pub(crate) async fn tick<P: Platform>(node: Node<P>, fence: u64) {
     while node.is_at(fence) {
         node.feed(fence, Event::Tick);
--- a/crates/stackpier-scheduler/src/store.rs
+++ b/crates/stackpier-scheduler/src/store.rs
@@ -73,7 +73,8 @@
     pub value: Vec<u8>,
 }
 
-/// Transaction writes all of its keys or none, if its conditions hold.
+/// Transaction applies all of its writes and removals, or none if a condition does not
+/// hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
     /// The conditions that must hold.
