--- a/crates/stackpier-scheduler/src/daemon.rs
+++ b/crates/stackpier-scheduler/src/daemon.rs
@@ -22,7 +22,7 @@
     jobs::Source,
     keys::OWNER,
     link::{self, Request, Response},
-    member,
+    monitor,
     node::{Node, pause},
     store::{Committed, Item, Transaction},
     watch::{Follower, Update, follow},
@@ -70,7 +70,7 @@
     ));
     tokio::task::spawn_local(link::serve(peers, node.clone(), other_open));
     tokio::task::spawn_local(follow(node.clone(), Configs { node: node.clone() }, None));
-    tokio::task::spawn_local(member::run(node.clone()));
+    tokio::task::spawn_local(monitor::run(node.clone()));
     node.say("daemon", &format!("started: {settings:?}"));
     wait_for_stop(&node).await?;
     stop(&node, &close, &open).await;
--- a/crates/stackpier-scheduler/src/metrics.rs
+++ b/crates/stackpier-scheduler/src/metrics.rs
@@ -15,7 +15,7 @@
 /// Metrics holds the instruments of one daemon.
 pub struct Metrics {
     instruments: Instruments,
-    /// Answers to client accounts, by call and status.
+    /// Answers to client accounts, by status.
     pub answers: Counter<u64>,
     /// Time from a request's arrival to its answer, in seconds.
     pub latency: Histogram<f64>,
