--- a/crates/stackpier-scheduler/src/monitor.rs
+++ b/crates/stackpier-scheduler/src/monitor.rs
@@ -264,7 +264,8 @@
     /// daemons receive a new configuration at once, with no delay between them, so an owner
     /// on a slow link does not answer while it receives its own copy: one second for 256 KB
     /// on 2 Mbit/s. Taking over then is a cost without a gain, as the new owner would be
-    /// held up for as long.
+    /// held up for as long. An owner that has not answered since it took over also gets the
+    /// time to read the cell ([`CELL_BYTES`]).
     fn silence_limit_ms(&self) -> u64 {
         let config = self.node.config_item.borrow();
         let bytes = config.as_ref().map_or(0, |item| item.value.len() as u64);
@@ -273,10 +274,10 @@
         let members = self.node.members.borrow();
         let link = owner.and_then(|vm| Some(members.get(vm)?.member.link_kbps));
         let kbps = u64::from(link.unwrap_or(u32::MAX).max(1));
-        let new = owned
+        let is_new = owned
             .as_ref()
             .is_some_and(|owned| !self.has_answered(owned));
-        let bytes = if new { bytes.max(CELL_BYTES) } else { bytes };
+        let bytes = if is_new { bytes.max(CELL_BYTES) } else { bytes };
         SILENT_MS + bytes * WIRE_BITS_PER_BYTE / kbps
     }
 
--- a/crates/stackpier-scheduler/src/node.rs
+++ b/crates/stackpier-scheduler/src/node.rs
@@ -327,7 +327,7 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// OpenRequest is a request that is being answered.
+/// OpenRequest is a request that is being answered, with the time at which it came in.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenRequest {
     start: Millis,
