--- a/crates/stackpier-scheduler/src/daemon.rs
+++ b/crates/stackpier-scheduler/src/daemon.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The life of the daemon: its servers, its followers, and its planned stop.
+//! Starts the daemon's servers and followers, answers its peers, and stops it in order.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -22,26 +22,25 @@
     jobs::Source,
     keys::OWNER,
     link::{self, Request, Response},
-    member,
+    monitor,
     node::{Node, pause},
     store::{Committed, Item, Transaction},
-    watch::{Feed, Follower, follow},
+    watch::{Follower, Update, follow},
 };
 
-/// DRAIN_MS is how long a daemon that was told to stop goes on taking
-/// connections: the balancer misses two checks, one a second, before it sends
-/// no more.
+/// DRAIN_MS is how long a stopping daemon still accepts connections. The load balancer
+/// checks once a second and stops sending requests after two failed checks.
 const DRAIN_MS: u64 = 2_300;
-/// LAST_MS is how long before it would be killed a stopping daemon ends,
-/// whatever is still open.
-const LAST_MS: u64 = 1_000;
-/// STOP_POLL_MS is the time between two looks at what is still open.
+/// STOP_MARGIN_MS is how long before the kill deadline a stopping daemon exits, even with
+/// connections still open.
+const STOP_MARGIN_MS: u64 = 1_000;
+/// STOP_POLL_MS is the time between two checks of whether work is still open.
 const STOP_POLL_MS: u64 = 50;
-/// FETCH_LIMIT bounds asking a peer for its configuration.
-const FETCH_LIMIT: std::time::Duration = std::time::Duration::from_millis(800);
+/// FETCH_TIMEOUT bounds fetching the configuration from a peer.
+const FETCH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(800);
 
-/// run serves until the process is told to stop. `callers` answers client
-/// accounts.
+/// run serves until the process receives a signal to stop. `callers` handles the requests
+/// of client accounts.
 pub async fn run<P: Platform, H: Handler>(node: Node<P>, callers: H) -> Result<()> {
     let settings = node.settings.clone();
     let (close, closing) = watch::channel(false);
@@ -50,7 +49,7 @@
     let readiness = listen(settings.readiness).await?;
     let metrics = listen(settings.metrics).await?;
     let peers = listen(settings.peers).await?;
-    let aside = Rc::new(Cell::new(0));
+    let other_open = Rc::new(Cell::new(0));
     tokio::task::spawn_local(serve(
         callers_port,
         callers,
@@ -61,17 +60,17 @@
         readiness,
         Readiness(node.clone()),
         closing.clone(),
-        Rc::clone(&aside),
+        Rc::clone(&other_open),
     ));
     tokio::task::spawn_local(serve(
         metrics,
         Metrics(node.clone()),
         closing,
-        Rc::clone(&aside),
+        Rc::clone(&other_open),
     ));
-    tokio::task::spawn_local(link::serve(peers, node.clone(), aside));
+    tokio::task::spawn_local(link::serve(peers, node.clone(), other_open));
     tokio::task::spawn_local(follow(node.clone(), Configs { node: node.clone() }, None));
-    tokio::task::spawn_local(member::run(node.clone()));
+    tokio::task::spawn_local(monitor::run(node.clone()));
     node.say("daemon", &format!("started: {settings:?}"));
     wait_for_stop(&node).await?;
     stop(&node, &close, &open).await;
@@ -86,27 +85,28 @@
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            // No setting changes while the process runs: what operators
-            // change comes through the store.
-            _ = hangup.recv() => node.say("daemon", "settings file changed: nothing in it is reloaded"),
+            // Settings are fixed for the life of the process. What operators change at run
+            // time comes through the store.
+            _ = hangup.recv() => node.say("daemon", "SIGHUP ignored: settings are not reloaded"),
         }
     }
 }
 
 async fn stop<P: Platform>(node: &Node<P>, close: &watch::Sender<bool>, open: &Cell<usize>) {
     let start = node.mono();
-    let last = node.settings.grace_ms.saturating_sub(LAST_MS);
+    let limit_ms = node.settings.grace_ms.saturating_sub(STOP_MARGIN_MS);
     node.stopping.set(true);
-    node.ends_at.set(Some(start.plus(last)));
+    node.ends_at.set(Some(start.plus(limit_ms)));
     node.say("daemon", "stopping");
     node.release().await;
-    let drain = DRAIN_MS.min(last);
-    while node.mono().since(start) < drain {
+    let drain_ms = DRAIN_MS.min(limit_ms);
+    while node.mono().since(start) < drain_ms {
         pause(STOP_POLL_MS).await;
     }
     close.send_replace(true);
-    let waits = || open.get() > 0 || node.busy.get() > 0 || !node.unsaved.borrow().is_empty();
-    while waits() && node.mono().since(start) < last {
+    let has_work =
+        || open.get() > 0 || node.open_requests.get() > 0 || !node.unsaved.borrow().is_empty();
+    while has_work() && node.mono().since(start) < limit_ms {
         pause(STOP_POLL_MS).await;
     }
     let text = format!("stopped with {} connections open", open.get());
@@ -114,9 +114,10 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// release gives the cell to another daemon before a planned stop.
+    /// release gives up the cell before a planned stop, so that another daemon can take it
+    /// over at once.
     async fn release(&self) {
-        // From here on this daemon orders nothing.
+        // From here on this daemon sends no orders.
         let Some(owner) = self.owner.replace(None) else {
             return;
         };
@@ -137,7 +138,8 @@
         );
     }
 
-    /// config_version returns the version of the configuration in force.
+    /// config_version returns the version of the configuration in force, 0 if there is
+    /// none.
     pub(crate) fn config_version(&self) -> u64 {
         self.config
             .borrow()
@@ -145,13 +147,14 @@
             .map_or(0, |config| config.version)
     }
 
-    /// config returns the configuration in force.
+    /// config returns the configuration in force, if there is one.
     pub fn config(&self) -> Option<Rc<Config>> {
         self.config.borrow().clone()
     }
 
-    /// take_config puts a configuration in force, unless a newer one is.
-    fn take_config(&self, item: &Item, from: &str) {
+    /// apply_config puts a configuration in force unless the version in force is the same
+    /// or newer.
+    fn apply_config(&self, item: &Item, from: &str) {
         let config = match self.platform.config(item) {
             Ok(config) => config,
             Err(error) => {
@@ -176,8 +179,9 @@
         self.feed_queues();
     }
 
-    /// take_plan takes in a plan of maintenance.
-    fn take_plan(&self, item: &Item) {
+    /// apply_plan adds a maintenance plan that an operator wrote, if the settings allow
+    /// taking hosts down.
+    fn apply_plan(&self, item: &Item) {
         let plan = match self.platform.plan(item) {
             Ok(Some(plan)) => plan,
             Ok(None) => return,
@@ -188,23 +192,27 @@
             }
         };
         if self.settings.hosts.is_none() {
-            let text = format!("plan {} is left: no address takes hosts down", plan.number);
+            let text = format!(
+                "plan {} ignored: the settings have no address for taking hosts down",
+                plan.number
+            );
             self.say("config", &text);
             return;
         }
-        let known = |other: &Plan| other.number == plan.number;
-        if self.plans.borrow().iter().any(known) {
+        let is_same = |other: &Plan| other.number == plan.number;
+        if self.plans.borrow().iter().any(is_same) {
             return;
         }
         self.plans.borrow_mut().push(plan);
         self.feed_plans();
     }
 
-    /// fetch_config takes over a newer configuration from a peer.
+    /// fetch_config fetches the configuration from a peer and puts it in force if it is
+    /// newer.
     pub(crate) async fn fetch_config(&self, address: &str) {
         if let Ok(Response::Config(value, revision)) = self
             .links
-            .call(address, &Request::Config, FETCH_LIMIT)
+            .call(address, &Request::Config, FETCH_TIMEOUT)
             .await
         {
             let key = self.platform.config_key().to_owned();
@@ -213,22 +221,23 @@
                 value,
                 revision,
             };
-            self.take_config(&item, "a peer");
+            self.apply_config(&item, "a peer");
         }
     }
 }
 
-/// Configs follows what operators write.
+/// Configs follows the configuration and the maintenance plans that operators write to the
+/// store.
 struct Configs<P> {
     node: Node<P>,
 }
 
 impl<P: Platform> Configs<P> {
-    fn take_item(&self, item: &Item) {
+    fn apply_item(&self, item: &Item) {
         if item.key == self.node.platform.config_key() {
-            self.node.take_config(item, "the store");
+            self.node.apply_config(item, "the store");
         } else {
-            self.node.take_plan(item);
+            self.node.apply_plan(item);
         }
     }
 }
@@ -242,16 +251,16 @@
         true
     }
 
-    /// skips is true: each configuration replaces the one before. Changes that come twelve
-    /// times a second are more than a link of 2 Mbit/s carries one by one, and the last of
-    /// them was in force seconds late.
-    fn skips(&self) -> bool {
+    /// wants_latest_only is true because each configuration replaces the one before. With
+    /// twelve changes a second, a link of 2 Mbit/s can't carry every version, and the last
+    /// one came into force seconds late.
+    fn wants_latest_only(&self) -> bool {
         true
     }
 
-    fn take(&mut self, feed: Feed) {
-        for item in feed.into_items() {
-            self.take_item(&item);
+    fn apply(&mut self, update: Update) {
+        for item in update.into_items() {
+            self.apply_item(&item);
         }
     }
 }
@@ -261,7 +270,7 @@
         match request {
             Request::Heartbeat(heartbeat) => Response::Alive(self.alive(&heartbeat)),
             Request::Store => Response::Flag(self.store_answers()),
-            Request::Heard(fence) => Response::Flag(self.heard_owner(fence)),
+            Request::Heard(fence) => Response::Flag(self.has_owner_contact(fence)),
             Request::Config => match self.config_item.borrow().as_ref() {
                 Some(item) => Response::Config(item.value.clone(), item.revision),
                 None => Response::NotOwner,
@@ -320,7 +329,8 @@
     }
 }
 
-/// Readiness tells the balancer whether this daemon takes requests.
+/// Readiness answers the load balancer's checks: 200 if this daemon takes requests, else
+/// 503.
 struct Readiness<P>(Node<P>);
 
 impl<P> Clone for Readiness<P> {
@@ -335,7 +345,7 @@
     }
 }
 
-/// Metrics shows the daemon's metrics, and explains where a job's tasks are.
+/// Metrics serves the daemon's metrics and the explanations of where a job's tasks are.
 struct Metrics<P>(Node<P>);
 
 impl<P> Clone for Metrics<P> {
@@ -353,7 +363,7 @@
             Ok(text) => answer(200, text, None),
             Err(error) => {
                 self.0
-                    .say("daemon", &format!("metrics not written: {error}"));
+                    .say("daemon", &format!("cannot encode the metrics: {error}"));
                 answer(500, Vec::new(), None)
             }
         }
--- a/crates/stackpier-scheduler/src/loading.rs
+++ b/crates/stackpier-scheduler/src/loading.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Loading the cell from the store when this daemon comes to own it.
+//! Loads the cell from the store when this daemon has become its owner.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
 
@@ -11,24 +11,24 @@
 use crate::{
     Platform,
     following::{Jobs, Workers},
-    handover::Earlier,
+    handover::Predecessor,
     jobs::Source,
     keys::{self, JOBS, MAINTENANCE, MEMORY, PROGRESS, ROSTER},
     node::{Node, Owned, pause},
     owner::{Owner, tick},
-    saving::{Revisions, names},
+    saving::{Revisions, describe_roster},
     store::{Item, Listing},
-    watch::{Feed, Follower, follow},
+    watch::{Follower, Update, follow},
 };
 
-/// LOAD_RETRY_MS is the pause before loading is tried again.
+/// LOAD_RETRY_MS is the pause before a failed load is retried.
 const LOAD_RETRY_MS: u64 = 200;
 
-/// SLOW_KBPS is the link below which the parts of a cell are read one after the other: half
-/// a megabyte takes half a second on it.
+/// SLOW_KBPS is the link speed below which the parts of a cell are read one after the
+/// other. Half a megabyte takes half a second at this speed.
 const SLOW_KBPS: u32 = 8_000;
 
-/// Loaded is all that the store keeps of a cell.
+/// Loaded holds everything that the store keeps of a cell.
 struct Loaded {
     jobs: Listing,
     progress: Listing,
@@ -39,8 +39,8 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// load reads the cell from the store and begins to schedule it.
-    pub(crate) async fn load(&self, owned: Owned, earlier: Earlier) {
+    /// load reads the cell from the store and starts scheduling it.
+    pub(crate) async fn load(&self, owned: Owned, predecessor: Predecessor) {
         let fence = owned.ownership.fence;
         self.loading.set(true);
         let loaded = self.read_cell(fence).await;
@@ -52,23 +52,27 @@
             "owns the cell with fence {fence}: {} jobs, {} workers listed, predecessor may act: {}",
             loaded.progress.items.len(),
             loaded.workers.items.len(),
-            earlier.may_act
+            predecessor.may_act
         );
         self.say("owner", &text);
         self.metrics.ownerships.add(1, &[]);
-        self.install(owned, &earlier, loaded);
-        if let Some(address) = earlier.address {
+        self.install(owned, &predecessor, loaded);
+        if let Some(address) = predecessor.address {
             let node = self.clone();
-            tokio::task::spawn_local(async move { node.ask_earlier(fence, &address).await });
+            tokio::task::spawn_local(async move { node.query_predecessor(fence, &address).await });
         }
     }
 
-    /// read_cell reads the cell, for as long as this daemon owns it.
+    /// read_cell reads the cell and retries until it succeeds. It returns nothing if the
+    /// ownership changed meanwhile.
     async fn read_cell(&self, fence: u64) -> Option<Loaded> {
         loop {
             match self.read().await {
                 Ok(loaded) => return (self.fence() == fence).then_some(loaded),
-                Err(error) => self.say("owner", &format!("cell not read yet: {error}")),
+                Err(error) => self.say(
+                    "owner",
+                    &format!("reading the cell failed, retrying: {error}"),
+                ),
             }
             pause(LOAD_RETRY_MS).await;
             if self.fence() != fence {
@@ -84,9 +88,9 @@
             .map_or(0, |owned| owned.ownership.fence)
     }
 
-    /// read reads all parts of the cell: on a slow link one after the other, so that
-    /// heartbeats pass between them, else at once, as a store that is slow would be waited
-    /// for once for each.
+    /// read reads all parts of the cell. On a slow link it reads them one after the other,
+    /// so that heartbeats pass in between. Otherwise it reads them concurrently, so that a
+    /// slow store delays the load by one call instead of by six.
     async fn read(&self) -> Result<Loaded> {
         if self.settings.link_kbps < SLOW_KBPS {
             return Ok(Loaded {
@@ -116,16 +120,16 @@
         })
     }
 
-    /// install puts the cell in its place and begins to follow its jobs and
-    /// workers.
-    fn install(&self, owned: Owned, earlier: &Earlier, loaded: Loaded) {
+    /// install makes this daemon the cell's acting owner and starts following the cell's
+    /// jobs and workers.
+    fn install(&self, owned: Owned, predecessor: &Predecessor, loaded: Loaded) {
         let fence = owned.ownership.fence;
         let mut revisions = Revisions::default();
-        let mut cell = Cell::new(self.settings.cell, fence, self.now(), earlier.may_act);
-        if earlier.address.is_some() {
+        let mut cell = Cell::new(self.settings.cell, fence, self.now(), predecessor.may_act);
+        if predecessor.address.is_some() {
             cell.await_handover();
         }
-        // Reading may have taken seconds, in which a later owner may have come.
+        // Reading may have taken seconds, and a later owner may have taken over meanwhile.
         cell.set_confirmed(self.owned_since(fence));
         self.restore(&mut cell, &mut revisions, &loaded);
         let mut progress = HashMap::new();
@@ -158,27 +162,30 @@
         tokio::task::spawn_local(tick(self.clone(), fence));
     }
 
-    /// restore gives a cell what earlier owners kept: the workers that they
-    /// used, what they learnt and which hosts they took down.
+    /// restore passes to the cell what earlier owners saved: the roster of workers, the
+    /// model and the state of maintenance.
     fn restore(&self, cell: &mut Cell, revisions: &mut Revisions, loaded: &Loaded) {
         if let Some(item) = &loaded.roster {
             revisions.set(ROSTER, item.revision);
-            match self.readable::<Vec<RosterEntry>>(None, "the roster", &item.value) {
+            match self.decode_or_log::<Vec<RosterEntry>>(None, "the roster", &item.value) {
                 Some(entries) => self.restore_roster(cell, &entries),
                 None => cell.set_roster_unknown(),
             }
         }
         if let Some(item) = &loaded.memory {
             revisions.set(MEMORY, item.revision);
-            let memory = self.readable::<ModelSnapshot>(None, "what was learnt", &item.value);
+            let memory = self.decode_or_log::<ModelSnapshot>(None, "the saved model", &item.value);
             if let Some(memory) = memory {
                 cell.restore_model(&memory);
             }
         }
         if let Some(item) = &loaded.maintenance {
             revisions.set(MAINTENANCE, item.revision);
-            let records =
-                self.readable::<Vec<maintenance::Record>>(None, "what was taken down", &item.value);
+            let records = self.decode_or_log::<Vec<maintenance::Record>>(
+                None,
+                "the state of maintenance",
+                &item.value,
+            );
             if let Some(records) = records {
                 cell.resume_maintenance(records);
             }
@@ -186,14 +193,17 @@
     }
 
     fn restore_roster(&self, cell: &mut Cell, entries: &[RosterEntry]) {
-        let text = format!("workers to wait for, by the roster: {}", names(entries));
+        let text = format!(
+            "waiting for reports of the roster: {}",
+            describe_roster(entries)
+        );
         self.say("owner", &text);
         entries.iter().for_each(|entry| cell.add_roster(entry));
     }
 
-    /// readable decodes a value that an owner or a daemon wrote, and logs it if
-    /// that fails.
-    pub(crate) fn readable<T: DeserializeOwned>(
+    /// decode_or_log decodes a value from the store and logs a failure. `what` names the
+    /// value.
+    pub(crate) fn decode_or_log<T: DeserializeOwned>(
         &self,
         subject: Option<String>,
         what: &str,
@@ -209,19 +219,19 @@
         }
     }
 
-    /// start_followers takes in the jobs and workers of two listings, and
-    /// follows the changes after them.
+    /// start_followers passes the listed jobs and workers to the cell and follows the
+    /// changes after the listings.
     fn start_followers(
         &self,
         mut jobs: Jobs<P>,
-        kept: Listing,
+        accepted: Listing,
         mut workers: Workers<P>,
         listed: Listing,
     ) {
-        jobs.take(Feed::All(kept.items));
+        jobs.apply(Update::All(accepted.items));
         jobs.source = Source::Watch;
-        workers.take(Feed::All(listed.items));
-        tokio::task::spawn_local(follow(self.clone(), jobs, Some(kept.at)));
+        workers.apply(Update::All(listed.items));
+        tokio::task::spawn_local(follow(self.clone(), jobs, Some(accepted.at)));
         tokio::task::spawn_local(follow(self.clone(), workers, Some(listed.at)));
     }
 }
--- a/crates/stackpier-scheduler/src/saving.rs
+++ b/crates/stackpier-scheduler/src/saving.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Writing a cell's progress: each write requires that this daemon still owns
-//! the cell and that the value is the one it wrote last, so that a write whose
+//! Saves the cell's progress to the store. Each write requires that this daemon still owns
+//! the cell and that the present value is the one it last wrote, so that a write whose
 //! answer was lost can't overwrite a later one.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
@@ -16,25 +16,25 @@
     store::{Committed, Condition, Item, Put, Transaction},
 };
 
-/// PUTS is how many keys go into one transaction: with a condition for each
-/// and one for the ownership they stay within 32 entries.
-const PUTS: usize = 15;
-/// AT_ONCE is how many transactions of a save are on their way at a time. Ends are noted
-/// only after their save and are listed again until then, so a save that takes long makes
-/// more work for a busy owner.
-const AT_ONCE: usize = 24;
-/// SLOW_MS is how long a save takes that is worth a log line.
-const SLOW_MS: u64 = 500;
-/// TRIES is how often an unclear write is sent before the save fails.
-const TRIES: usize = 3;
-/// RETRY_MS is the pause between two tries.
+/// MAX_PUTS is how many keys a transaction writes. With a condition for each key and one
+/// for the ownership it stays within 32 entries.
+const MAX_PUTS: usize = 15;
+/// MAX_CONCURRENT is how many transactions of a save are sent concurrently. Ends of runs
+/// are acknowledged only after their save and are reported again until then, so a slow save
+/// adds work for a busy owner.
+const MAX_CONCURRENT: usize = 24;
+/// SLOW_SAVE_MS is the duration from which a save is logged as slow.
+const SLOW_SAVE_MS: u64 = 500;
+/// MAX_TRIES is how often a write with an unknown outcome is sent before the save fails.
+const MAX_TRIES: usize = 3;
+/// RETRY_MS is the pause after a write with an unknown outcome.
 const RETRY_MS: u64 = 60;
 
-/// NAMED is how many workers a log line names: all of a cell of today's smaller users, in a
-/// kilobyte.
-const NAMED: usize = 64;
+/// MAX_LISTED_WORKERS is how many workers a log line names. It covers all workers of the
+/// smaller current deployments and takes a kilobyte.
+const MAX_LISTED_WORKERS: usize = 64;
 
-/// Revisions are the last known revisions of the owner's keys.
+/// Revisions holds the last known revisions of the keys that the owner writes.
 #[derive(Debug, Default)]
 pub(crate) struct Revisions {
     keys: HashMap<String, u64>,
@@ -45,19 +45,19 @@
         self.keys.insert(key.to_owned(), revision);
     }
 
-    fn of(&self, key: &str) -> u64 {
+    fn revision_of(&self, key: &str) -> u64 {
         self.keys.get(key).copied().unwrap_or(0)
     }
 }
 
 impl<P: Platform> Node<P> {
-    /// save writes a save and tells whether all of it is in the store.
+    /// save writes a save to the store and reports whether all of it was written.
     pub(crate) async fn save(&self, fence: u64, save: Save) -> bool {
         let Some((revision, revisions)) = self.saving(fence) else {
             return false;
         };
         let (puts, begun) = (self.puts(&save), self.mono());
-        for group in puts.chunks(PUTS * AT_ONCE) {
+        for group in puts.chunks(MAX_PUTS * MAX_CONCURRENT) {
             if !self.write_group(fence, revision, &revisions, group).await {
                 return false;
             }
@@ -67,15 +67,15 @@
         self.trim(fence, revision, &save).await && self.forget(fence, revision, &save).await
     }
 
-    /// log_slow tells of a save that took long.
+    /// log_slow logs a save that took long.
     fn log_slow(&self, keys: usize, took_ms: u64) {
-        if took_ms >= SLOW_MS {
+        if took_ms >= SLOW_SAVE_MS {
             self.say("save", &format!("a save of {keys} keys took {took_ms} ms"));
         }
     }
 
-    /// log_stored tells what the store has now: a successor knows of these ends, and waits
-    /// for the reports of these workers.
+    /// log_stored logs which finished jobs and which roster the store now holds. A
+    /// successor will know of these ends, and will wait for the reports of these workers.
     fn log_stored(&self, save: &Save) {
         for (job, progress) in &save.jobs {
             if progress.state.is_final() {
@@ -84,13 +84,13 @@
             }
         }
         if let Some(roster) = &save.roster {
-            let text = format!("the roster in the store has {}", names(roster));
+            let text = format!("the roster in the store has {}", describe_roster(roster));
             self.say("owner", &text);
         }
     }
 
-    /// trim leaves of jobs that are over only that they were there: their state is kept
-    /// apart, and a job that is handed in again is still known.
+    /// trim replaces the records of finished jobs by an empty record. Their state is stored
+    /// under another key, and a job that is submitted again is still recognised.
     async fn trim(&self, fence: u64, owned: u64, save: &Save) -> bool {
         if save.trimmed.is_empty() {
             return true;
@@ -98,21 +98,21 @@
         let rest = Record::trimmed();
         let puts = save.trimmed.iter().map(|job| put(keys::job(*job), &rest));
         let transaction = Transaction {
-            conditions: vec![owner_at(owned)],
+            conditions: vec![owner_condition(owned)],
             puts: puts.collect(),
             removals: Vec::new(),
         };
         match self.store_commit(&transaction).await {
             Committed::Done(_) => true,
             Committed::Conflict(items) => {
-                self.owned_by_other(fence, owned, &items);
+                self.depose_if_replaced(fence, owned, &items);
                 false
             }
             Committed::Refused | Committed::Unknown => false,
         }
     }
 
-    /// puts returns what a save writes.
+    /// puts returns the keys and values that a save writes.
     fn puts(&self, save: &Save) -> Vec<Put> {
         let mut puts = Vec::new();
         if let Some(roster) = &save.roster {
@@ -131,12 +131,15 @@
         puts
     }
 
-    /// plan_put returns what operators are told of a plan.
+    /// plan_put returns the state of a maintenance plan that operators read.
     fn plan_put(&self, record: &maintenance::Record) -> Option<Put> {
         match self.platform.plan_state(record.plan, record.completed) {
             Ok(state) => Some(state),
             Err(error) => {
-                self.say("save", &format!("state of a plan: {error}"));
+                self.say(
+                    "save",
+                    &format!("cannot write the state of a maintenance plan: {error}"),
+                );
                 None
             }
         }
@@ -148,7 +151,8 @@
         Some((owner.revision, Rc::clone(&owner.revisions)))
     }
 
-    /// write_group writes a few transactions at a time and tells whether all are done.
+    /// write_group writes the puts of a group in concurrent transactions and reports
+    /// whether all of them succeeded.
     async fn write_group(
         &self,
         fence: u64,
@@ -162,10 +166,11 @@
                 async move { node.write(fence, owned, &revisions, &chunk).await },
             )
         };
-        let writes: Vec<_> = group.chunks(PUTS).map(write).collect();
+        let writes: Vec<_> = group.chunks(MAX_PUTS).map(write).collect();
         let mut done = true;
         for write in writes {
-            // One that panicked may have been done; the next save learns of it.
+            // A write that panicked may have taken effect. The next save sees this by the
+            // conflict.
             done &= write.await.unwrap_or(false);
         }
         done
@@ -178,7 +183,7 @@
         revisions: &RefCell<Revisions>,
         puts: &[Put],
     ) -> bool {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             let transaction = transaction(owned, &revisions.borrow(), puts);
             match self.store_commit(&transaction).await {
                 Committed::Done(at) => {
@@ -187,10 +192,10 @@
                     return true;
                 }
                 Committed::Conflict(items) => {
-                    if self.owned_by_other(fence, owned, &items) {
+                    if self.depose_if_replaced(fence, owned, &items) {
                         return false;
                     }
-                    learn(&mut revisions.borrow_mut(), puts, &items);
+                    update_revisions(&mut revisions.borrow_mut(), puts, &items);
                 }
                 Committed::Refused => return false,
                 Committed::Unknown => pause(RETRY_MS).await,
@@ -199,15 +204,15 @@
         false
     }
 
-    /// owned_by_other tells whether a conflict shows another owner, and gives
-    /// the cell up if it does.
-    fn owned_by_other(&self, fence: u64, owned: u64, items: &[Item]) -> bool {
+    /// depose_if_replaced gives up the cell if a conflict shows another owner, and reports
+    /// whether it does.
+    fn depose_if_replaced(&self, fence: u64, owned: u64, items: &[Item]) -> bool {
         let owner = items.iter().find(|item| item.key == OWNER);
         if owner.is_some_and(|item| item.revision == owned) {
             return false;
         }
         if let Some(item) = owner {
-            self.take_ownership(item);
+            self.apply_ownership(item);
         }
         self.depose(fence + 1, "a save found another owner in the store");
         true
@@ -221,17 +226,17 @@
         for job in &save.forgotten {
             removals.extend([keys::job(*job), keys::cancel(*job), keys::progress(*job)]);
         }
-        // One entry is left for the condition on the ownership.
-        for chunk in removals.chunks(2 * PUTS) {
+        // One of the 32 entries is needed for the condition on the ownership.
+        for chunk in removals.chunks(2 * MAX_PUTS) {
             let transaction = Transaction {
-                conditions: vec![owner_at(owned)],
+                conditions: vec![owner_condition(owned)],
                 puts: Vec::new(),
                 removals: chunk.to_vec(),
             };
             match self.store_commit(&transaction).await {
                 Committed::Done(_) => {}
                 Committed::Conflict(items) => {
-                    self.owned_by_other(fence, owned, &items);
+                    self.depose_if_replaced(fence, owned, &items);
                     return false;
                 }
                 Committed::Refused | Committed::Unknown => return false,
@@ -241,21 +246,22 @@
     }
 }
 
-/// names lists the ids of a roster's workers for the log, of a large one the first.
-pub(crate) fn names(roster: &[RosterEntry]) -> String {
+/// describe_roster returns the number of workers in a roster and the ids of the first
+/// [`MAX_LISTED_WORKERS`], for the log.
+pub(crate) fn describe_roster(roster: &[RosterEntry]) -> String {
     let ids = roster.iter().map(|entry| entry.id.as_str());
-    let first: Vec<&str> = ids.take(NAMED).collect();
+    let first: Vec<&str> = ids.take(MAX_LISTED_WORKERS).collect();
     format!("{} workers: {}", roster.len(), first.join(" "))
 }
 
 fn put<T: serde::Serialize>(key: String, value: &T) -> Put {
     Put {
         key,
-        value: encode(value).expect("a value of the own types is encoded"),
+        value: encode(value).expect("a value of the crate's own types can be encoded"),
     }
 }
 
-fn owner_at(revision: u64) -> Condition {
+fn owner_condition(revision: u64) -> Condition {
     Condition {
         key: OWNER.to_owned(),
         revision,
@@ -265,9 +271,9 @@
 fn transaction(owned: u64, revisions: &Revisions, puts: &[Put]) -> Transaction {
     let condition = |put: &Put| Condition {
         key: put.key.clone(),
-        revision: revisions.of(&put.key),
+        revision: revisions.revision_of(&put.key),
     };
-    let mut conditions = vec![owner_at(owned)];
+    let mut conditions = vec![owner_condition(owned)];
     conditions.extend(puts.iter().map(condition));
     Transaction {
         conditions,
@@ -276,9 +282,9 @@
     }
 }
 
-/// learn takes the present revisions from a conflict: an earlier try whose
-/// answer was lost has been done.
-fn learn(revisions: &mut Revisions, puts: &[Put], items: &[Item]) {
+/// update_revisions sets the revisions to those that a conflict shows. The conflict means
+/// that an earlier try, whose answer was lost, took effect.
+fn update_revisions(revisions: &mut Revisions, puts: &[Put], items: &[Item]) {
     for put in puts {
         let present = items.iter().find(|item| item.key == put.key);
         revisions.set(&put.key, present.map_or(0, |item| item.revision));
