--- a/crates/stackpier-scheduler/src/calls.rs
+++ b/crates/stackpier-scheduler/src/calls.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The owner's calls to workers, to the adviser and to hosts: each is sent,
-//! counted, and its outcome fed to the cell.
+//! The owner's calls to workers, to the adviser and to hosts. Each call is
+//! counted in the metrics, and its outcome is fed to the cell as an event.
 
 use stackpier_cell::{
     AdviceRequest, Event, Pace, Renewal, Renewed, Start, Started, Stop, Stopped,
@@ -11,8 +11,8 @@
 
 impl<P: Platform> Node<P> {
     pub(crate) async fn send_start(self, fence: u64, start: Start) {
-        let Delivery { outcome, helper } = self.start_or_pass(&start).await;
-        self.count_worker("start", outcome == Started::Yes);
+        let Delivery { outcome, helper } = self.start_or_forward(&start).await;
+        self.count_worker_call("start", outcome == Started::Yes);
         let order = &start.order;
         let text = format!(
             "run {} on worker {} under fence {fence} by {}: {outcome:?}",
@@ -27,31 +27,31 @@
 
     pub(crate) async fn send_stop(self, fence: u64, stop: Stop) {
         let outcome = self.platform.stop(&stop).await;
-        self.count_worker("stop", outcome == Stopped::Yes);
+        self.count_worker_call("stop", outcome == Stopped::Yes);
         let run = stop.order.key;
         self.feed(fence, Event::Stopped { run, outcome });
     }
 
     pub(crate) async fn send_pace(self, fence: u64, pace: Pace) {
-        let taken = self.platform.pace(&pace).await;
-        self.count_worker("pace", taken);
-        let text = format!("pace {} ordered, taken: {taken}", pace.percent);
+        let accepted = self.platform.pace(&pace).await;
+        self.count_worker_call("pace", accepted);
+        let text = format!("pace {} ordered, accepted: {accepted}", pace.percent);
         self.say_of("pace", Some(pace.order.task.to_string()), &text);
         let event = Event::Paced {
             run: pace.order.key,
             percent: pace.percent,
-            taken,
+            taken: accepted,
         };
         self.feed(fence, event);
     }
 
-    pub(crate) async fn send_hold(self, fence: u64, hold: Renewal) {
+    pub(crate) async fn send_hold(self, fence: u64, renewal: Renewal) {
         let sent = self.mono();
-        let outcome = self.hold_or_pass(&hold).await;
+        let outcome = self.renew_or_forward(&renewal).await;
         let answered = matches!(outcome, Renewed::Report(_));
-        self.count_worker("hold", answered);
+        self.count_worker_call("hold", answered);
         let event = Event::Renewed {
-            worker: hold.worker,
+            worker: renewal.worker,
             sent,
             outcome,
         };
@@ -60,17 +60,17 @@
 
     pub(crate) async fn send_down(self, fence: u64, order: TakeDown) {
         let outcome = self.platform.take_down(&order, &self.settings.vm).await;
-        self.count_worker("take_down", outcome == TakenDown::Yes);
+        self.count_worker_call("take_down", outcome == TakenDown::Yes);
         self.feed(fence, Event::TakenDown(order, outcome));
     }
 
-    pub(crate) async fn send_ask(self, fence: u64, ask: AdviceRequest) {
-        let answer = self.platform.advise(&ask).await;
-        self.count_worker("advise", answer.is_some());
-        self.feed(fence, Event::Advised(ask.step, answer));
+    pub(crate) async fn send_ask(self, fence: u64, request: AdviceRequest) {
+        let answer = self.platform.advise(&request).await;
+        self.count_worker_call("advise", answer.is_some());
+        self.feed(fence, Event::Advised(request.step, answer));
     }
 
-    fn count_worker(&self, call: &'static str, done: bool) {
+    fn count_worker_call(&self, call: &'static str, done: bool) {
         let outcome = if done { "done" } else { "failed" };
         self.metrics
             .worker_calls
--- a/crates/stackpier-scheduler/src/daemon.rs
+++ b/crates/stackpier-scheduler/src/daemon.rs
@@ -266,13 +266,15 @@
                 Some(item) => Response::Config(item.value.clone(), item.revision),
                 None => Response::NotOwner,
             },
-            Request::Write(transaction) => Response::Written(self.write_for(&transaction).await),
+            Request::Write(transaction) => {
+                Response::Written(self.commit_for_peer(&transaction).await)
+            }
             Request::Calls(batch) => {
-                self.call_for(batch);
+                self.send_batch(batch);
                 Response::Flag(true)
             }
             Request::Answers(answers) => {
-                self.relays.take_answers(answers);
+                self.relays.deliver_answers(answers);
                 Response::Flag(true)
             }
             Request::Metrics => Response::Metrics(self.settings.metrics.to_string()),
@@ -290,7 +292,7 @@
         };
         match request {
             Request::Accepted(job, record) => {
-                self.take_in(fence, Source::Message, job, record, None);
+                self.add_job(fence, Source::Message, job, record, None);
                 Response::Flag(true)
             }
             Request::Cancelled(job) => {
@@ -347,7 +349,7 @@
 impl<P: Platform> Handler for Metrics<P> {
     async fn handle(&self, query: Query<Incoming>) -> Answer<Full<Bytes>> {
         if let Some(id) = query.uri().path().strip_prefix(explain::PATH) {
-            return self.0.reply_explained(query.method(), id).await;
+            return self.0.answer_explain(query.method(), id).await;
         }
         match self.0.metrics.text() {
             Ok(text) => answer(200, text, None),
--- a/crates/stackpier-scheduler/src/explain.rs
+++ b/crates/stackpier-scheduler/src/explain.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The question why a job's tasks are where they are, answered beside the
-//! metrics: from the cell by its owner, with the owner's address by others.
+//! Explanations of why a job's tasks run or wait where they do, served on the
+//! metrics listener. The owner answers from its cell; the other daemons answer
+//! with the owner's metrics address.
 
 use std::time::Duration;
 
@@ -22,13 +23,13 @@
     node::Node,
 };
 
-/// ADDRESS_LIMIT bounds asking the owner for its metrics address: some round
-/// trips between data centres.
+/// ADDRESS_LIMIT bounds the request for the owner's metrics address. It allows
+/// for several round trips between data centres.
 const ADDRESS_LIMIT: Duration = Duration::from_millis(350);
 
 impl<P: Platform> Node<P> {
-    /// reply_explained answers the question about the job with an id.
-    pub(crate) async fn reply_explained(&self, method: &Method, id: &str) -> Reply<Full<Bytes>> {
+    /// answer_explain answers a request to explain the job with this id.
+    pub(crate) async fn answer_explain(&self, method: &Method, id: &str) -> Reply<Full<Bytes>> {
         let explained = match *method {
             Method::GET => self.explain(id).await,
             _ => Err(Error::new(Kind::WrongMethod, "an explanation is only read")),
@@ -43,7 +44,7 @@
         match body {
             Ok(body) => answer(status, body, None),
             Err(error) => {
-                self.say("daemon", &format!("explanation not written: {error}"));
+                self.say("daemon", &format!("cannot encode an explanation: {error}"));
                 answer(500, Vec::new(), None)
             }
         }
@@ -57,38 +58,43 @@
         }
         let ownership = self.other_owner()?;
         Ok(Answer::Owner(Owner {
-            metrics: self.metrics_of(&ownership).await,
+            metrics: self.request_metrics_address(&ownership).await,
             vm: ownership.vm,
         }))
     }
 
-    /// other_owner returns the ownership of another daemon.
+    /// other_owner returns the ownership record of the daemon that owns the cell. It
+    /// is an error if no other daemon is known to own it.
     fn other_owner(&self) -> Result<Ownership> {
-        let unreached = |why: &str| Error::new(Kind::Unreachable, why);
+        let unreachable = |why: &str| Error::new(Kind::Unreachable, why);
         let owned = self.owned.borrow();
         let Some(owned) = owned.as_ref() else {
-            return Err(unreached("no owner of the cell is known"));
+            return Err(unreachable("no owner of the cell is known"));
         };
         let ownership = &owned.ownership;
         if ownership.released {
-            return Err(unreached("the cell has no owner now"));
+            return Err(unreachable("the cell has no owner now"));
         }
         if ownership.vm == self.settings.vm {
-            return Err(unreached("this daemon has not read the cell it owns yet"));
+            return Err(unreachable("this daemon has not read the cell it owns yet"));
         }
         Ok(ownership.clone())
     }
 
-    /// metrics_of asks another daemon for its metrics address.
-    async fn metrics_of(&self, ownership: &Ownership) -> Option<String> {
-        let asked = self
+    /// request_metrics_address asks another daemon for its metrics address. It
+    /// returns `None` if there is no answer.
+    async fn request_metrics_address(&self, ownership: &Ownership) -> Option<String> {
+        let sent = self
             .links
             .call(&ownership.address, &Request::Metrics, ADDRESS_LIMIT);
-        match asked.await {
+        match sent.await {
             Ok(Response::Metrics(address)) => Some(address),
             Ok(_) => None,
             Err(error) => {
-                let text = format!("metrics address of {} not known: {error}", ownership.vm);
+                let text = format!(
+                    "cannot get the metrics address of {}: {error}",
+                    ownership.vm
+                );
                 self.say("daemon", &text);
                 None
             }
--- a/crates/stackpier-scheduler/src/fleet.rs
+++ b/crates/stackpier-scheduler/src/fleet.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the daemon asks of workers.
+//! Calls of the daemon to workers, to the adviser and to hosts.
 
 use std::future::Future;
 
@@ -8,29 +8,29 @@
     maintenance::{TakeDown, TakenDown},
 };
 
-/// Fleet speaks to workers. Each call ends within a bounded time.
+/// Fleet sends calls to workers. Each call ends within a bounded time.
 pub trait Fleet {
-    /// start asks a worker to start a run.
+    /// start orders a worker to start a run.
     fn start(&self, start: &Start) -> impl Future<Output = Started>;
 
-    /// stop asks a worker to stop a run.
+    /// stop orders a worker to stop a run.
     fn stop(&self, stop: &Stop) -> impl Future<Output = Stopped>;
 
-    /// pace sets the pace of a run and tells whether the worker took it.
+    /// pace sets the pace of a run and returns whether the worker accepted it.
     fn pace(&self, pace: &Pace) -> impl Future<Output = bool>;
 
-    /// hold renews a lease and returns the worker's report.
-    fn hold(&self, hold: &Renewal) -> impl Future<Output = Renewed>;
+    /// renew renews a worker's lease and returns the worker's report.
+    fn renew(&self, renewal: &Renewal) -> impl Future<Output = Renewed>;
 }
 
-/// Adviser knows which workers may run a step.
+/// Adviser tells which workers may run a step.
 pub trait Adviser {
     /// advise returns the adviser's answer, or `None` if it gave none.
-    fn advise(&self, ask: &AdviceRequest) -> impl Future<Output = Option<Advised>>;
+    fn advise(&self, request: &AdviceRequest) -> impl Future<Output = Option<Advised>>;
 }
 
-/// Hosts are what workers run on.
+/// Hosts orders maintenance of the hosts that workers run on.
 pub trait Hosts {
-    /// take_down orders a host down for maintenance, in the name of this VM.
+    /// take_down orders a host down for maintenance on behalf of this daemon's VM.
     fn take_down(&self, order: &TakeDown, vm: &str) -> impl Future<Output = TakenDown>;
 }
--- a/crates/stackpier-scheduler/src/following.rs
+++ b/crates/stackpier-scheduler/src/following.rs
@@ -64,7 +64,7 @@
         };
         self.progress.remove(&job);
         self.node
-            .take_in(self.fence, self.source, job, Box::new(record), progress);
+            .add_job(self.fence, self.source, job, Box::new(record), progress);
     }
 
     /// saved returns what earlier owners saved of a job, if anything.
--- a/crates/stackpier-scheduler/src/http.rs
+++ b/crates/stackpier-scheduler/src/http.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! HTTP/1.1 by `hyper`: a client that keeps its connections, and a server.
+//! HTTP/1.1 with `hyper`: a client that reuses its connections, and a server.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,53 +24,54 @@
 
 use crate::socket;
 
-/// MAX_ANSWER_BYTES bounds the body of an answer: a page of the store's items
-/// is about 1 MB.
+/// MAX_ANSWER_BYTES bounds the body of an answer. The largest answers, pages of
+/// the store's items, have about 1 MB.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// MAX_IDLE bounds the idle connections kept to one address. Workers take 64
-/// connections each from all daemons together.
+/// MAX_IDLE bounds the idle connections to one address. A worker accepts 64
+/// connections from all daemons together.
 const MAX_IDLE: usize = 6;
-/// TRUST is how recent an answer must be to show, at the time-out of another
-/// call, that its connection is not silent as well. It is below what the calls
-/// wait beyond the time at which an answer is due, 450 ms at least: an answer
-/// from before a silence is older.
-const TRUST: Duration = Duration::from_millis(300);
-/// STALL is how long a long answer may bring nothing: longer than the packets of an open
-/// connection wait on a full link of 2 Mbit/s, half a second.
-const STALL: Duration = Duration::from_millis(800);
-/// COMING is how long after a part of a long answer its program counts as answering: other
-/// calls wait behind it on the link.
-const COMING: Duration = Duration::from_millis(500);
-/// LINGER is how long a connection is kept at a planned stop after it was told
-/// to end, and again, while no request is answered on it: what remains is a
-/// request of which only a part has come.
-const LINGER: Duration = Duration::from_millis(500);
+/// RECENT_ANSWER is how recently a connection must have brought an answer to stay
+/// open when another call times out. It is shorter than the time, at least 450 ms,
+/// for which a call waits after its answer is due. So if the connections all went
+/// silent, their last answers are older than this when the call times out.
+const RECENT_ANSWER: Duration = Duration::from_millis(300);
+/// MAX_STALL is the longest pause between two parts of a long answer. On a saturated link of
+/// 2 Mbit/s the packets of an open connection wait for half a second.
+const MAX_STALL: Duration = Duration::from_millis(800);
+/// MAX_PART_AGE is how long after the last part of a long answer the answer still counts as
+/// arriving. Other calls wait behind it on the link.
+const MAX_PART_AGE: Duration = Duration::from_millis(500);
+/// DRAIN_PAUSE is the time between the checks, at a planned stop, of whether a
+/// connection still answers a request. A connection that does not is closed at
+/// the check: at most, part of a request has arrived on it.
+const DRAIN_PAUSE: Duration = Duration::from_millis(500);
 /// HEADER_TIMEOUT is how long a connection may be idle, and how long a client
-/// may take to send its headers.
+/// may take to send a request's headers.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
-/// BODY_TIMEOUT is how long a client may take to send its body: clients wait
-/// three seconds for an answer.
+/// BODY_TIMEOUT is how long a client may take to send a request's body. Clients
+/// wait three seconds for an answer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(3);
-/// ACCEPT_PAUSE is the pause after a failed accept, such as for want of
+/// ACCEPT_PAUSE is the pause after a failed accept, such as for lack of file
 /// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Call is one request to another program.
+/// Call describes a request to another program.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The method.
     pub method: Method,
     /// The path with its query.
     pub path: String,
-    /// Further headers with their values.
+    /// Additional headers with their values.
     pub headers: Vec<(&'static str, String)>,
     /// The body, empty for none.
     pub body: Vec<u8>,
-    /// The time until the answer must be there, or must begin if it is long.
+    /// The time within which the answer must be complete, or must begin if it is
+    /// long.
     pub limit: Duration,
 }
 
-/// Answer is the answer to a call.
+/// Answer holds the answer to a call.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status.
@@ -81,123 +82,125 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Kept is an idle connection.
-struct Kept {
+/// IdleConnection holds an open connection that carries no call.
+struct IdleConnection {
     sender: Sender,
-    /// When it last brought an answer.
+    /// When an answer last arrived on it.
     answered: Instant,
 }
 
-/// Client sends calls over kept connections, one call at a time on each.
+/// Client sends calls over connections that it reuses, one call at a time on each.
 ///
-/// Connections may go silent for good without a reset, all at once. So a call
-/// that is late closes all idle connections to its address that have not just
-/// brought an answer: the next call opens a new one.
+/// Connections may go silent for good without a reset, all at once. A call that
+/// times out therefore closes all idle connections to its address on which no
+/// answer arrived recently, so that the next call opens a new one.
 #[derive(Clone, Default)]
 pub struct Client {
-    idle: Rc<RefCell<HashMap<String, Vec<Kept>>>>,
+    idle: Rc<RefCell<HashMap<String, Vec<IdleConnection>>>>,
     opened: Rc<Cell<u64>>,
     calls: Rc<Cell<u64>>,
-    /// When the last part of a long answer came, by address.
-    coming: Rc<RefCell<HashMap<String, Instant>>>,
+    /// When the last part of a long answer arrived, by address.
+    last_parts: Rc<RefCell<HashMap<String, Instant>>>,
 }
 
 impl Client {
-    /// call sends one call. After an error or a time-out the call may still be
-    /// carried out; its connection is not used again.
+    /// call sends a call and returns its answer. After an error or a time-out the
+    /// call may still be carried out. Its connection is not used again then.
     pub async fn call(&self, address: &str, call: Call) -> Result<Answer> {
         let end = Instant::now() + call.limit;
         let exchange = async {
-            let (sender, response) = self.ask(address, call).await?;
+            let (sender, response) = self.send(address, call).await?;
             let status = response.status().as_u16();
             let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
             let body = body.collect().await;
             let body = body.map_err(|error| unreachable(address, &*error))?;
-            self.give_back(address, sender);
+            self.keep_idle(address, sender);
             let body = body.to_bytes();
             Ok(Answer { status, body })
         };
         let answer = timeout_at(end, exchange).await;
-        answer.map_err(|_| self.late(address))?
+        answer.map_err(|_| self.handle_timeout(address))?
     }
 
-    /// call_long sends one call whose answer may take longer than its limit on a slow link:
-    /// the limit bounds the time until the answer begins, and it goes on for as long as parts
-    /// of it come. A bound on the whole of it would be one on the link and on the length.
+    /// call_long sends a call whose answer may take longer than the call's limit on a slow
+    /// link. The limit bounds the time until the answer begins; the rest is read for as long
+    /// as parts of it arrive. The time for a whole answer depends on its length and on the
+    /// link, so it has no limit.
     pub async fn call_long(&self, address: &str, call: Call) -> Result<Answer> {
         let end = Instant::now() + call.limit;
-        let asked = timeout_at(end, self.ask(address, call)).await;
-        let (sender, response) = asked.map_err(|_| self.late(address))??;
+        let sent = timeout_at(end, self.send(address, call)).await;
+        let (sender, response) = sent.map_err(|_| self.handle_timeout(address))??;
         let status = response.status().as_u16();
-        let body = self.parts(address, response.into_body()).await?;
-        self.give_back(address, sender);
+        let body = self.collect_parts(address, response.into_body()).await?;
+        self.keep_idle(address, sender);
         Ok(Answer { status, body })
     }
 
-    /// is_coming tells whether a long answer of a program comes just now.
+    /// is_coming reports whether a long answer is arriving from an address.
     pub fn is_coming(&self, address: &str) -> bool {
-        let coming = self.coming.borrow();
-        let last = coming.get(address);
-        last.is_some_and(|last| last.elapsed() < COMING)
+        let last_parts = self.last_parts.borrow();
+        let last = last_parts.get(address);
+        last.is_some_and(|last| last.elapsed() < MAX_PART_AGE)
     }
 
-    /// opened returns how many connections were opened.
+    /// opened returns the number of connections opened so far.
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// calls returns how many calls were sent.
+    /// calls returns the number of calls sent so far.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
 
-    /// distrust closes the idle connections to an address that have not just
-    /// brought an answer.
-    fn distrust(&self, address: &str) {
+    /// close_suspect closes the idle connections to an address on which no answer
+    /// arrived recently.
+    fn close_suspect(&self, address: &str) {
         if let Some(kept) = self.idle.borrow_mut().get_mut(address) {
-            kept.retain(|kept| kept.answered.elapsed() < TRUST);
+            kept.retain(|kept| kept.answered.elapsed() < RECENT_ANSWER);
         }
     }
 
-    /// late closes connections that may be silent, and returns the error of a call that got
-    /// no answer in time.
-    fn late(&self, address: &str) -> Error {
-        self.distrust(address);
+    /// handle_timeout closes the connections that may be silent too, and returns the error for
+    /// the call that timed out.
+    fn handle_timeout(&self, address: &str) -> Error {
+        self.close_suspect(address);
         Error::new(Kind::Unreachable, format!("{address}: no answer in time"))
     }
 
-    /// ask sends a call and waits until its answer begins.
-    async fn ask(&self, address: &str, call: Call) -> Result<(Sender, Response<Incoming>)> {
+    /// send sends a call and waits for the head of its answer.
+    async fn send(&self, address: &str, call: Call) -> Result<(Sender, Response<Incoming>)> {
         self.calls.set(self.calls.get() + 1);
-        let mut sender = match self.take(address) {
+        let mut sender = match self.take_idle(address) {
             Some(sender) => sender,
             None => self.connect(address).await?,
         };
         let broken = |error: hyper::Error| unreachable(address, &error);
         sender.ready().await.map_err(broken)?;
-        let response = sender.send_request(request(address, call)?).await;
+        let response = sender.send_request(build_request(address, call)?).await;
         Ok((sender, response.map_err(broken)?))
     }
 
-    /// parts collects a long answer, of which each part has to come in time.
-    async fn parts(&self, address: &str, body: Incoming) -> Result<Bytes> {
+    /// collect_parts reads the body of a long answer. It fails if nothing arrives for
+    /// `MAX_STALL`.
+    async fn collect_parts(&self, address: &str, body: Incoming) -> Result<Bytes> {
         let mut body = Limited::new(body, MAX_ANSWER_BYTES);
-        let mut whole = BytesMut::new();
+        let mut collected = BytesMut::new();
         loop {
-            let frame = timeout(STALL, body.frame()).await;
-            let Some(frame) = frame.map_err(|_| self.late(address))? else {
-                return Ok(whole.freeze());
+            let frame = timeout(MAX_STALL, body.frame()).await;
+            let Some(frame) = frame.map_err(|_| self.handle_timeout(address))? else {
+                return Ok(collected.freeze());
             };
             let frame = frame.map_err(|error| unreachable(address, &*error))?;
             if let Some(data) = frame.data_ref() {
-                whole.extend_from_slice(data);
-                let mut coming = self.coming.borrow_mut();
-                coming.insert(address.to_owned(), Instant::now());
+                collected.extend_from_slice(data);
+                let mut last_parts = self.last_parts.borrow_mut();
+                last_parts.insert(address.to_owned(), Instant::now());
             }
         }
     }
 
-    fn take(&self, address: &str) -> Option<Sender> {
+    fn take_idle(&self, address: &str) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
         let senders = idle.get_mut(address)?;
         while let Some(kept) = senders.pop() {
@@ -208,7 +211,7 @@
         None
     }
 
-    fn give_back(&self, address: &str, sender: Sender) {
+    fn keep_idle(&self, address: &str, sender: Sender) {
         let mut idle = self.idle.borrow_mut();
         let senders = match idle.get_mut(address) {
             Some(senders) => senders,
@@ -216,7 +219,7 @@
         };
         if senders.len() < MAX_IDLE && !sender.is_closed() {
             let answered = Instant::now();
-            senders.push(Kept { sender, answered });
+            senders.push(IdleConnection { sender, answered });
         }
     }
 
@@ -227,13 +230,13 @@
         let (sender, connection) = handshake
             .await
             .map_err(|error| unreachable(address, &error))?;
-        // Its errors come to light at the call that uses the connection.
+        // The call that uses the connection reports its errors.
         tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(sender)
     }
 }
 
-fn request(address: &str, call: Call) -> Result<Request<Full<Bytes>>> {
+fn build_request(address: &str, call: Call) -> Result<Request<Full<Bytes>>> {
     let mut request = Request::builder()
         .method(call.method)
         .uri(call.path)
@@ -244,10 +247,10 @@
     for (name, value) in call.headers {
         request = request.header(name, value);
     }
-    let wrong = |error: http::Error| Error::new(Kind::Internal, error.to_string());
+    let invalid = |error: http::Error| Error::new(Kind::Internal, error.to_string());
     request
         .body(Full::new(Bytes::from(call.body)))
-        .map_err(wrong)
+        .map_err(invalid)
 }
 
 fn unreachable(address: &str, error: &dyn std::error::Error) -> Error {
@@ -260,10 +263,12 @@
     fn handle(&self, request: Request<Incoming>) -> impl Future<Output = Response<Full<Bytes>>>;
 }
 
-/// Closing tells connections to end after the answer they are at.
+/// Closing becomes true at a planned stop: connections then end after the answer that they
+/// are sending.
 pub type Closing = watch::Receiver<bool>;
 
-/// serve answers the requests that come to a listener.
+/// serve answers the requests that arrive at a listener, and keeps `open` at the
+/// number of open connections.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     handler: H,
@@ -276,19 +281,19 @@
             continue;
         };
         if stream.set_nodelay(true).is_err() {
-            // The client is gone already.
+            // The client has closed the connection already.
             continue;
         }
         let (handler, closing, open) = (handler.clone(), closing.clone(), Rc::clone(&open));
         tokio::task::spawn_local(async move {
             open.set(open.get() + 1);
-            connection(stream, handler, closing).await;
+            serve_connection(stream, handler, closing).await;
             open.set(open.get() - 1);
         });
     }
 }
 
-async fn connection<H: Handler>(stream: TcpStream, handler: H, mut closing: Closing) {
+async fn serve_connection<H: Handler>(stream: TcpStream, handler: H, mut closing: Closing) {
     let answering = Rc::new(Cell::new(false));
     let service = service_fn(|request| {
         let (handler, answering) = (handler.clone(), Rc::clone(&answering));
@@ -306,15 +311,15 @@
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // An error here is the client's end of the connection; requests that
-        // were read in full have been answered or are logged by the handler.
+        // An error here means that the client closed the connection. The handler
+        // has answered or logged the requests that were read in full.
         _ = connection.as_mut() => return,
         _ = closing.wait_for(|closing| *closing) => connection.as_mut().graceful_shutdown(),
     }
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
-            () = sleep(LINGER) => {}
+            () = sleep(DRAIN_PAUSE) => {}
         }
         if !answering.get() {
             return;
@@ -322,7 +327,7 @@
     }
 }
 
-/// listen opens a listener.
+/// listen opens a listener on an address.
 pub async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     use anyhow::Context;
     TcpListener::bind(address)
@@ -330,7 +335,7 @@
         .with_context(|| format!("listening on {address}"))
 }
 
-/// answer builds an answer with a body of JSON text, empty for none.
+/// answer builds a response whose body is JSON text, or empty.
 pub fn answer(status: u16, body: Vec<u8>, retry_after_s: Option<u32>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() =
@@ -346,8 +351,8 @@
     response
 }
 
-/// body reads the body of a request up to a bound. One that stops coming is an
-/// error, so that a client that went silent holds up no planned stop.
+/// body reads the body of a request of at most `max_bytes`. It fails if the body
+/// is not complete in time, so that a silent client can't delay a planned stop.
 pub async fn body(body: Incoming, max_bytes: usize) -> Result<Bytes> {
     let limited = Limited::new(body, max_bytes);
     let Ok(collected) = timeout(BODY_TIMEOUT, limited.collect()).await else {
--- a/crates/stackpier-scheduler/src/jobs.rs
+++ b/crates/stackpier-scheduler/src/jobs.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What client accounts ask: to take a job, to tell its state, to cancel it,
-//! and to count the jobs that wait. Any daemon answers.
+//! Requests of client accounts: submitting a job, its state, cancelling it, and
+//! the number of waiting jobs. Any daemon answers them.
 
 use std::time::Duration;
 
@@ -18,58 +18,60 @@
     store::{Committed, Condition, Item, Put, Transaction},
 };
 
-/// TAKE_LIMIT is how long a daemon tries to get a job into the store. Clients
-/// wait three seconds, and need time for another daemon.
-const TAKE_LIMIT: Duration = Duration::from_millis(1_600);
-/// LAST_TRY_MS is how long before the end of a planned stop the last try to write begins: it
-/// takes 0.65 s at most, by way of a peer, and its answer has to reach the client.
-const LAST_TRY_MS: u64 = 800;
-/// PASS_LIMIT bounds passing a write on to a peer.
-const PASS_LIMIT: Duration = Duration::from_millis(500);
-/// STORE_LIMIT bounds asking a peer whether it has the store: some round trips
-/// between data centres.
+/// SUBMIT_LIMIT is how long a daemon tries to write a job to the store. Clients
+/// wait three seconds in all, and need the rest to try another daemon.
+const SUBMIT_LIMIT: Duration = Duration::from_millis(1_600);
+/// LAST_WRITE_MS is how long before the end of a planned stop the last attempt to write may
+/// begin. An attempt takes up to 0.65 s, if it goes through a peer, and its answer still has to
+/// reach the client.
+const LAST_WRITE_MS: u64 = 800;
+/// FORWARD_LIMIT bounds forwarding a write to a peer.
+const FORWARD_LIMIT: Duration = Duration::from_millis(500);
+/// STORE_LIMIT bounds asking a peer whether it reaches the store. It allows for
+/// several round trips between data centres.
 const STORE_LIMIT: Duration = Duration::from_millis(150);
-/// PASSES is how many peers a write may be passed to.
-const PASSES: usize = 4;
-/// RETRY_MS is the pause between two tries.
+/// MAX_FORWARDS is how many peers a write may be forwarded to.
+const MAX_FORWARDS: usize = 4;
+/// RETRY_MS is the pause between two attempts.
 const RETRY_MS: u64 = 50;
-/// ASK_LIMIT bounds a question to the owner.
+/// ASK_LIMIT bounds a message to the owner.
 const ASK_LIMIT: Duration = Duration::from_millis(350);
-/// TELL_TRIES is how often the owner is told of a job. It also finds the job
-/// in the store.
-const TELL_TRIES: usize = 2;
-/// COME_BACK_MS is when a client should come back after a refusal: a take-over
+/// NOTIFY_TRIES is how many times a daemon tries to send the owner a message
+/// about a job. The owner also finds the job in the store.
+const NOTIFY_TRIES: usize = 2;
+/// RETRY_AFTER_MS is when a client should try again after a refusal. A take-over
 /// or a short outage lasts about this long.
-const COME_BACK_MS: u64 = 1_000;
+const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Source is how the owner learns of a job.
+/// Source tells how the owner learnt of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// A client account handed it in here, or asked for it.
+    /// A client account submitted the job to this daemon, or asked for it.
     Client,
-    /// Another daemon's message.
+    /// Another daemon reported it.
     Message,
-    /// The watch of the store, or a later listing.
+    /// A watch of the store, or a listing after the take-over, showed it.
     Watch,
-    /// The reading of the cell at a take-over, with the progress of all jobs.
+    /// Loading the cell at a take-over, with the progress of all jobs, showed it.
     Store,
 }
 
 impl<P: Platform> Node<P> {
-    /// submit keeps a job in the store and tells the owner. It returns `Ok`
-    /// once the job is kept, now or earlier. An error of a kind that has not
-    /// run means that the job was not taken and never runs.
+    /// submit writes a job to the store and notifies the owner. It returns `Ok`
+    /// once the job is in the store, also if an earlier attempt wrote it. An error
+    /// whose kind says that nothing ran means that the job was not accepted and
+    /// never runs.
     pub async fn submit(&self, job: key::Job, queue: &Queue, spec: Spec) -> Result<()> {
-        let end = self.last_try();
+        let end = self.write_deadline();
         if Instant::now() >= end {
             return Err(refusal("this daemon is about to end", false));
         }
-        // Whether an earlier try may have been done.
-        let mut unclear = false;
+        // Whether an earlier attempt may have written the job.
+        let mut unconfirmed = false;
         while Instant::now() < end {
             let owned = self.owned.borrow().clone();
             let Some(owned) = owned else {
-                return Err(refusal("no owner of the cell is known", unclear));
+                return Err(refusal("no owner of the cell is known", unconfirmed));
             };
             let record = Record {
                 queue: queue.clone(),
@@ -77,43 +79,46 @@
                 fence: owned.ownership.fence,
                 accepted_ms: self.now().unix.0,
             };
-            match self.commit(&acceptance(job, &record, &owned)?, end).await {
+            match self
+                .commit(&build_acceptance(job, &record, &owned)?, end)
+                .await
+            {
                 Committed::Done(_) => {
-                    self.accepted(job, record);
+                    self.notify_accepted(job, record);
                     return Ok(());
                 }
                 Committed::Conflict(items) => {
-                    if self.settle(job, &items)? {
+                    if self.apply_conflict(job, &items)? {
                         return Ok(());
                     }
                     if !items.iter().any(|item| item.key == OWNER) {
-                        return Err(refusal("the cell has no owner", unclear));
+                        return Err(refusal("the cell has no owner", unconfirmed));
                     }
                 }
-                Committed::Refused if unclear => pause(RETRY_MS).await,
+                Committed::Refused if unconfirmed => pause(RETRY_MS).await,
                 Committed::Refused => return Err(refusal("the store takes no writes", false)),
-                Committed::Unknown => unclear = true,
+                Committed::Unknown => unconfirmed = true,
             }
         }
-        Err(refusal("the store did not answer in time", unclear))
+        Err(refusal("the store did not answer in time", unconfirmed))
     }
 
-    /// last_try returns until when a daemon begins to write. One that stops answers before its
-    /// end: connections that were opened before it closed its port may bring requests until
-    /// then, and tries for as long as usual were cut off in the soak. What comes too late to
-    /// be tried is refused at once.
-    fn last_try(&self) -> Instant {
+    /// write_deadline returns the time until which attempts to write may begin. In a planned stop
+    /// it lies before the daemon's end: requests may arrive until the end, on connections that
+    /// were opened before the port was closed, and the end would cut off attempts that went on
+    /// for as long as usual. A request that arrives after the deadline is refused at once.
+    fn write_deadline(&self) -> Instant {
         let now = Instant::now();
         let Some(ends_at) = self.ends_at.get() else {
-            return now + TAKE_LIMIT;
+            return now + SUBMIT_LIMIT;
         };
-        let left_ms = ends_at.0.saturating_sub(self.mono().0 + LAST_TRY_MS);
-        now + TAKE_LIMIT.min(Duration::from_millis(left_ms))
+        let left_ms = ends_at.0.saturating_sub(self.mono().0 + LAST_WRITE_MS);
+        now + SUBMIT_LIMIT.min(Duration::from_millis(left_ms))
     }
 
-    /// settle takes in what a conflict shows, and tells whether the job is in
-    /// the store already.
-    fn settle(&self, job: key::Job, items: &[Item]) -> Result<bool> {
+    /// apply_conflict records the ownership and the job that a conflicting write
+    /// found, and returns whether the job is in the store already.
+    fn apply_conflict(&self, job: key::Job, items: &[Item]) -> Result<bool> {
         if let Some(item) = items.iter().find(|item| item.key == OWNER) {
             self.take_ownership(item);
         }
@@ -124,55 +129,56 @@
         if let Some(item) = kept {
             let record =
                 decode(&item.value).map_err(|error| unreadable(Kind::WriteUnknown, &error))?;
-            self.accepted(job, record);
+            self.notify_accepted(job, record);
         }
         Ok(kept.is_some())
     }
 
-    /// commit does a transaction, by way of a peer if this daemon can't
-    /// reach the store. The transaction's conditions must make it safe to be
-    /// done twice. No further peer is tried from `end` on: all of them together may take
-    /// three seconds, longer than clients wait, and past the end of a planned stop.
+    /// commit commits a transaction, through a peer if this daemon can't reach the
+    /// store. The transaction's conditions must make it safe to be done twice. No
+    /// further peer is tried from `end` on: all of them together may take three
+    /// seconds, which is longer than clients wait and may pass the end of a planned stop.
     async fn commit(&self, transaction: &Transaction, end: Instant) -> Committed {
-        let mut unclear = false;
+        let mut unconfirmed = false;
         if self.store_answers() {
             match self.store_commit(transaction).await {
-                Committed::Unknown => unclear = true,
+                Committed::Unknown => unconfirmed = true,
                 Committed::Refused => {}
-                settled => return settled,
+                outcome => return outcome,
             }
         }
-        for peer in self.peers(PASSES) {
+        for peer in self.peers(MAX_FORWARDS) {
             if Instant::now() >= end {
                 break;
             }
-            if !self.has_store(&peer).await {
+            if !self.reaches_store(&peer).await {
                 continue;
             }
             let request = Request::Write(transaction.clone());
-            let passed = self.links.call(&peer, &request, PASS_LIMIT).await;
-            match passed {
-                Ok(Response::Written(Committed::Unknown)) | Err(_) => unclear = true,
+            let forwarded = self.links.call(&peer, &request, FORWARD_LIMIT).await;
+            match forwarded {
+                Ok(Response::Written(Committed::Unknown)) | Err(_) => unconfirmed = true,
                 Ok(Response::Written(Committed::Refused)) => {}
-                Ok(Response::Written(settled)) => return settled,
+                Ok(Response::Written(outcome)) => return outcome,
                 Ok(_) => {}
             }
         }
-        if unclear {
+        if unconfirmed {
             Committed::Unknown
         } else {
             Committed::Refused
         }
     }
 
-    /// has_store tells whether a peer answers and has the store. A write that is
-    /// passed to one that does not answer may or may not be done.
-    async fn has_store(&self, peer: &str) -> bool {
-        let asked = self.links.call(peer, &Request::Store, STORE_LIMIT).await;
-        matches!(asked, Ok(Response::Flag(true)))
+    /// reaches_store reports whether a peer answers and reaches the store. It is
+    /// asked before a write is forwarded: if a peer doesn't answer a write, it is
+    /// unknown whether the write was done.
+    async fn reaches_store(&self, peer: &str) -> bool {
+        let sent = self.links.call(peer, &Request::Store, STORE_LIMIT).await;
+        matches!(sent, Ok(Response::Flag(true)))
     }
 
-    /// peers returns the addresses of some other daemons: the owner, then any.
+    /// peers returns the addresses of up to `count` other daemons, the owner first.
     fn peers(&self, count: usize) -> Vec<String> {
         let own = &self.settings.vm;
         let owned = self.owned.borrow();
@@ -181,37 +187,38 @@
         let others = members.values().map(|entry| &entry.member);
         let others = others.filter(|member| member.vm != *own);
         let mut others: Vec<_> = others.collect();
-        // Another start for each daemon, so that they don't all ask the same.
+        // The order differs between daemons, so that they don't all ask the same peer.
         let place = |vm: &str| key::weight(vm.as_bytes(), self.boot.0);
         others.sort_by_key(|member| (Some(member.vm.as_str()) != owner, place(&member.vm)));
         let addresses = others.into_iter().map(|member| member.address.clone());
         addresses.take(count).collect()
     }
 
-    /// write_for commits a transaction that a peer passed on.
-    pub(crate) async fn write_for(&self, transaction: &Transaction) -> Committed {
+    /// commit_for_peer commits a transaction that a peer forwarded.
+    pub(crate) async fn commit_for_peer(&self, transaction: &Transaction) -> Committed {
         if !self.store_answers() {
             return Committed::Refused;
         }
         self.store_commit(transaction).await
     }
 
-    /// accepted tells the owner of a job that is in the store.
-    fn accepted(&self, job: key::Job, record: Record) {
+    /// notify_accepted gives the owner a job that is in the store.
+    fn notify_accepted(&self, job: key::Job, record: Record) {
         let own = self.owner.borrow().as_ref().map(|owner| owner.fence);
         match own {
-            Some(fence) => self.take_in(fence, Source::Client, job, Box::new(record), None),
-            None => self.tell(Request::Accepted(job, Box::new(record))),
+            Some(fence) => self.add_job(fence, Source::Client, job, Box::new(record), None),
+            None => self.notify_owner(Request::Accepted(job, Box::new(record))),
         }
     }
 
-    /// take_in gives the cell a job that is in the store. A line tells by which way the owner
-    /// first learnt of it, and with what progress: whether a successor knew what had been done.
+    /// add_job gives the cell a job that is in the store. It logs how the owner first learnt of
+    /// the job and with what progress, which shows whether a successor knew what was done
+    /// before.
     ///
-    /// A job that was accepted under an earlier owner may have begun, and only the reading of
-    /// the cell tells how far it is. If it did not bring the job, as that or its progress could
-    /// not be read or is forgotten, then no other way begins it.
-    pub(crate) fn take_in(
+    /// A job that was accepted under an earlier owner may have begun, and only loading the cell
+    /// tells how far it is. If loading did not yield the job, because the job or its progress
+    /// could not be read or is forgotten, the job is ignored whatever the source.
+    pub(crate) fn add_job(
         &self,
         fence: u64,
         source: Source,
@@ -220,15 +227,15 @@
         progress: Option<Box<Progress>>,
     ) {
         if self.is_at(fence) && self.job_state(job).is_none() {
-            let begins = source == Source::Store || record.fence >= fence;
+            let is_accepted = source == Source::Store || record.fence >= fence;
             let state = progress.as_ref().map(|progress| progress.state);
             let text = format!(
-                "job {} by {source:?}, accepted under fence {}, saved state {state:?}",
-                if begins { "taken in" } else { "left alone" },
+                "job {}, learnt by {source:?}, accepted under fence {}, saved state {state:?}",
+                if is_accepted { "added" } else { "ignored" },
                 record.fence
             );
             self.say_of("job", Some(keys::hex(job)), &text);
-            if !begins {
+            if !is_accepted {
                 return;
             }
         }
@@ -241,10 +248,10 @@
         self.feed(fence, event);
     }
 
-    fn tell(&self, request: Request) {
+    fn notify_owner(&self, request: Request) {
         let node = self.clone();
         tokio::task::spawn_local(async move {
-            for _ in 0..TELL_TRIES {
+            for _ in 0..NOTIFY_TRIES {
                 if node.ask_owner(&request).await.is_ok() {
                     return;
                 }
@@ -253,7 +260,7 @@
         });
     }
 
-    /// ask_owner sends a message to the owner.
+    /// ask_owner sends a message to the owner and returns the answer.
     pub(crate) async fn ask_owner(&self, request: &Request) -> Result<Response> {
         let address = self
             .owned
@@ -281,7 +288,7 @@
         self.stored_state(job).await
     }
 
-    /// stored_state returns the state of a job by the store's word.
+    /// stored_state returns the state of a job as the store has it.
     async fn stored_state(&self, job: key::Job) -> Result<Option<State>> {
         let unknown = |error| unreadable(Kind::StoreUnavailable, &error);
         if let Some(item) = self.store_get(&keys::progress(job)).await? {
@@ -293,7 +300,7 @@
         let Some(item) = self.store_get(&keys::job(job)).await? else {
             return Ok(None);
         };
-        self.accepted(job, decode(&item.value).map_err(unknown)?);
+        self.notify_accepted(job, decode(&item.value).map_err(unknown)?);
         let cancelled = self.store_get(&keys::cancel(job)).await?.is_some();
         Ok(Some(if cancelled {
             State::Cancelled
@@ -302,35 +309,35 @@
         }))
     }
 
-    /// cancel keeps the cancelling of a job in the store and tells the owner.
+    /// cancel writes the cancellation of a job to the store and notifies the owner.
     /// It returns whether there is such a job.
     pub async fn cancel(&self, job: key::Job) -> Result<bool> {
-        let end = self.last_try();
+        let end = self.write_deadline();
         match self.state(job).await? {
             None => return Ok(false),
             Some(state) if state.is_final() => return Ok(true),
             Some(_) => {}
         }
-        let mut unclear = false;
+        let mut unconfirmed = false;
         while Instant::now() < end {
-            match self.commit(&cancelling(job), end).await {
+            match self.commit(&build_cancellation(job), end).await {
                 Committed::Done(_) => {
-                    self.cancelled(job);
+                    self.notify_cancelled(job);
                     return Ok(true);
                 }
-                Committed::Unknown => unclear = true,
+                Committed::Unknown => unconfirmed = true,
                 Committed::Conflict(_) | Committed::Refused => {}
             }
             pause(RETRY_MS).await;
         }
-        Err(refusal("the store took no cancelling in time", unclear))
+        Err(refusal("the store took no cancelling in time", unconfirmed))
     }
 
-    fn cancelled(&self, job: key::Job) {
+    fn notify_cancelled(&self, job: key::Job) {
         let own = self.owner.borrow().as_ref().map(|owner| owner.fence);
         match own {
             Some(fence) => self.feed(fence, Event::Cancelled(job)),
-            None => self.tell(Request::Cancelled(job)),
+            None => self.notify_owner(Request::Cancelled(job)),
         }
     }
 
@@ -346,7 +353,7 @@
     }
 }
 
-fn acceptance(job: key::Job, record: &Record, owned: &Owned) -> Result<Transaction> {
+fn build_acceptance(job: key::Job, record: &Record, owned: &Owned) -> Result<Transaction> {
     let key = keys::job(job);
     let conditions = vec![
         Condition {
@@ -366,7 +373,7 @@
     })
 }
 
-fn cancelling(job: key::Job) -> Transaction {
+fn build_cancellation(job: key::Job) -> Transaction {
     Transaction {
         puts: vec![Put {
             key: keys::cancel(job),
@@ -376,19 +383,20 @@
     }
 }
 
-/// refusal builds the error for a job that was not taken, or may have been.
-fn refusal(why: &str, unclear: bool) -> Error {
-    let kind = if unclear {
+/// refusal builds the error for a write that was not done, or for one that may have been done
+/// if it is `unconfirmed`.
+fn refusal(why: &str, unconfirmed: bool) -> Error {
+    let kind = if unconfirmed {
         Kind::WriteUnknown
     } else {
         Kind::StoreUnavailable
     };
-    Error::new(kind, why).after(COME_BACK_MS)
+    Error::new(kind, why).after(RETRY_AFTER_MS)
 }
 
-/// unreadable builds the error for what the store has of a job and can't be decoded. The fault
-/// is not the client account's.
+/// unreadable builds the error for a job's entry in the store that can't be decoded. The request
+/// of the client account is not at fault.
 fn unreadable(kind: Kind, error: &Error) -> Error {
     let why = format!("what is kept of the job is not readable: {}", error.message);
-    Error::new(kind, why).after(COME_BACK_MS)
+    Error::new(kind, why).after(RETRY_AFTER_MS)
 }
--- a/crates/stackpier-scheduler/src/link.rs
+++ b/crates/stackpier-scheduler/src/link.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Messages between daemons: `bincode` on `h2`, one stream for each.
+//! Messages between daemons: encoded with `bincode`, over HTTP/2 with one
+//! stream per message.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,72 +32,77 @@
     store::{Committed, Transaction},
 };
 
-/// URI is the target of every message; only the body matters.
+/// URI is the request target of every message. The receiver only reads the body.
 const URI: &str = "http://stackpier/message";
-/// ACCEPT_PAUSE is the pause after a failed accept.
+/// ACCEPT_PAUSE is the pause after a failed accept, such as for lack of file
+/// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// LINE_TIMEOUT is how long a connection may bring no message before the daemon
-/// that accepted it closes it: twenty heartbeats. One that went silent would
-/// otherwise be kept for ever.
-const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// SECOND_TRY is the part of a message's time, as a divisor, after which it is
-/// sent on a new connection as well.
-const SECOND_TRY: u32 = 2;
+/// IDLE_TIMEOUT is how long an accepted connection may carry no message before
+/// it is closed: twenty heartbeats. Without it, a connection whose other end
+/// went silent would stay open for ever.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// RESEND_DIVISOR divides a message's time limit: the quotient is the time after
+/// which the message is also sent on a new connection.
+const RESEND_DIVISOR: u32 = 2;
 
 /// Request is a message to another daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// A heartbeat from a follower to the owner it knows.
+    /// A heartbeat from a follower to the owner that it knows.
     Heartbeat(Heartbeat),
-    /// Did the receiver hear from the owner with this fence lately?
+    /// Asks whether the receiver had a recent answer from the owner with this
+    /// fence.
     Heard(u64),
-    /// A job is in the store.
+    /// Reports a job that is in the store.
     Accepted(key::Job, Box<Record>),
-    /// The cancelling of a job is in the store.
+    /// Reports a job whose cancellation is in the store.
     Cancelled(key::Job),
-    /// The state of a job.
+    /// Asks for the state of a job.
     State(key::Job),
-    /// How many jobs of a queue have not begun.
+    /// Asks how many jobs of a queue have not begun.
     Waiting(String),
-    /// The newest configuration, as its text in the store.
+    /// Asks for the newest configuration, as its text in the store.
     Config,
-    /// Does the store answer the receiver?
+    /// Asks whether the store answers the receiver.
     Store,
-    /// What could the receiver not save before the sender came to own the cell with this fence?
+    /// Asks for the progress that the receiver could not save before the sender
+    /// became the owner with this fence.
     Unsaved(u64),
-    /// What the sender, which owned the cell before, could not save.
+    /// Reports the progress that the sender, an earlier owner, could not save.
     HandOver(Vec<Unsaved>),
-    /// A write by a daemon that can't reach the store. It is safe to be done
-    /// twice.
+    /// Forwards a write of a daemon that can't reach the store. Doing it twice is
+    /// safe.
     Write(Transaction),
-    /// Where the receiver shows its metrics.
+    /// Asks for the address on which the receiver serves its metrics.
     Metrics,
-    /// Calls to workers that the receiver is to send, once however often they come.
+    /// Orders the receiver to send calls to workers. A batch that arrives twice
+    /// is carried out once.
     Calls(Batch),
-    /// Answers to calls that the receiver asked for.
+    /// Reports the answers to calls that the receiver forwarded.
     Answers(Vec<Numbered<Outcome>>),
 }
 
 impl Request {
-    /// patience returns how long a message waits on a kept connection before it
-    /// is sent on a new one as well. A write, which the store charges for, only
-    /// follows an answered question on the same connection.
-    fn patience(&self, limit: Duration) -> Duration {
+    /// resend_after returns how long a message waits for its answer on an open
+    /// connection before it is also sent on a new one. A write is not sent twice,
+    /// as the store charges for each: it only follows an answered
+    /// [`Request::Store`] on the same connection.
+    fn resend_after(&self, limit: Duration) -> Duration {
         match self {
             Request::Write(_) => limit,
-            _ => limit / SECOND_TRY,
+            _ => limit / RESEND_DIVISOR,
         }
     }
 }
 
-/// Heartbeat tells the owner how a follower fares.
+/// Heartbeat reports the state of a follower to the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The follower's VM.
     pub vm: String,
-    /// The fence of the owner that it knows.
+    /// The fence of the owner that the follower knows.
     pub fence: u64,
-    /// The version of its configuration.
+    /// The version of the follower's configuration.
     pub config: u64,
 }
 
@@ -107,25 +113,25 @@
     Alive(Alive),
     /// A yes or no.
     Flag(bool),
-    /// The state of a job, if it is known.
+    /// The state of a job, `None` if the job is not known.
     State(Option<State>),
     /// A count.
     Count(u64),
-    /// The configuration's item: value and revision.
+    /// The configuration's item in the store: its value and its revision.
     Config(Vec<u8>, u64),
     /// The outcome of a write.
     Written(Committed),
-    /// What an earlier owner could not save.
+    /// The progress that an earlier owner could not save.
     Unsaved(Vec<Unsaved>),
-    /// The receiver does not own the cell.
+    /// The daemon that was asked does not own the cell.
     NotOwner,
-    /// The address of the metrics.
+    /// The address on which metrics are served.
     Metrics(String),
 }
 
 impl Response {
-    /// into_taken tells whether a message was taken.
-    pub(crate) fn into_taken(self) -> Result<()> {
+    /// into_result returns an error unless the message was accepted.
+    pub(crate) fn into_result(self) -> Result<()> {
         match self {
             Response::Flag(true) => Ok(()),
             other => Err(Error::new(Kind::Unreachable, format!("answered {other:?}"))),
@@ -136,13 +142,13 @@
 /// Alive is the owner's answer to a heartbeat.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Alive {
-    /// The run of the daemon.
+    /// Identifies this process of the daemon.
     pub boot: Boot,
-    /// The fence that it knows, its own if it is the owner.
+    /// The fence of the owner that it knows; its own fence if it is the owner.
     pub fence: u64,
-    /// Whether it owns the cell, or is reading it.
+    /// Whether it owns the cell, or is loading it to become the owner.
     pub owner: bool,
-    /// Whether the store answers it.
+    /// Whether the store answers its calls.
     pub store: bool,
     /// The version of its configuration.
     pub config: u64,
@@ -154,18 +160,18 @@
     fn answer(&self, request: Request) -> impl Future<Output = Response>;
 }
 
-/// Line is a kept connection to another daemon.
+/// Connection is an open connection to another daemon.
 #[derive(Clone)]
-struct Line {
+struct Connection {
     sender: client::SendRequest<Bytes>,
-    /// Its place in the order of opening.
+    /// Its serial number: connections are numbered in the order of opening.
     number: u64,
-    /// When it last brought an answer.
+    /// When an answer last arrived on it.
     answered: Rc<Cell<Instant>>,
 }
 
-impl Line {
-    /// exchange sends a message and waits for its answer.
+impl Connection {
+    /// exchange sends a message and waits for the answer.
     async fn exchange(self, body: Bytes) -> Result<Response> {
         let mut sender = self.sender.ready().await.map_err(broken)?;
         let head = http::Request::post(URI).body(());
@@ -179,20 +185,20 @@
     }
 }
 
-/// Links sends messages over kept connections.
+/// Links sends messages to other daemons, over one open connection to each.
 ///
-/// A connection may go silent for good without a reset. So a message that has
-/// no answer after half of its time, on a kept connection that has brought no
-/// other answer meanwhile, is sent on a new one as well. Each message is safe to
-/// be taken in twice.
+/// A connection may go silent for good without a reset. If half of a message's
+/// time limit passes without an answer, and no other answer arrives on the
+/// connection meanwhile, the message is also sent on a new connection. Receiving
+/// any message twice is safe.
 #[derive(Clone, Default)]
 pub struct Links {
-    lines: Rc<RefCell<HashMap<String, Line>>>,
+    connections: Rc<RefCell<HashMap<String, Connection>>>,
     opened: Rc<Cell<u64>>,
 }
 
 impl Links {
-    /// call sends a message and waits for the answer. After an error its
+    /// call sends a message and waits for the answer. After an error the
     /// connection is not used again.
     pub async fn call(
         &self,
@@ -203,20 +209,20 @@
         let body = Bytes::from(encode(request)?);
         let sent = Instant::now();
         let end = sent + limit;
-        let Some(kept) = self.kept(address) else {
-            return self.ask_anew(address, body, end).await;
+        let Some(kept) = self.find_kept(address) else {
+            return self.send_anew(address, body, end).await;
         };
         let (number, answered) = (kept.number, Rc::clone(&kept.answered));
-        let first = self.ask(address, kept, body.clone(), end);
+        let first = self.send_on(address, kept, body.clone(), end);
         let mut first = std::pin::pin!(first);
         tokio::select! {
             answer = first.as_mut() => match answer {
                 Err(_) if Instant::now() < end => {
-                    return self.ask_anew(address, body, end).await;
+                    return self.send_anew(address, body, end).await;
                 }
                 answer => return answer,
             },
-            () = sleep(request.patience(limit)) => {}
+            () = sleep(request.resend_after(limit)) => {}
         }
         if answered.get() >= sent || Instant::now() >= end {
             return first.await;
@@ -224,74 +230,85 @@
         self.forget(address, number);
         tokio::select! {
             Ok(answer) = first => Ok(answer),
-            Ok(answer) = self.ask_anew(address, body, end) => Ok(answer),
-            else => Err(late(address)),
+            Ok(answer) = self.send_anew(address, body, end) => Ok(answer),
+            else => Err(timed_out(address)),
         }
     }
 
-    /// opened returns how many connections were opened.
+    /// opened returns the number of connections opened so far.
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// ask_anew sends a message on a connection that was opened since an
-    /// earlier one failed, or opens one.
-    async fn ask_anew(&self, address: &str, body: Bytes, end: Instant) -> Result<Response> {
-        let line = match self.kept(address) {
-            Some(line) => line,
+    /// send_anew sends a message on the connection that another message has
+    /// opened meanwhile, or else opens one.
+    async fn send_anew(&self, address: &str, body: Bytes, end: Instant) -> Result<Response> {
+        let connection = match self.find_kept(address) {
+            Some(connection) => connection,
             None => timeout_at(end, self.open(address))
                 .await
-                .map_err(|_| late(address))??,
+                .map_err(|_| timed_out(address))??,
         };
-        self.ask(address, line, body, end).await
+        self.send_on(address, connection, body, end).await
     }
 
-    /// ask sends a message on a connection, which is kept only if it answers.
-    async fn ask(&self, address: &str, line: Line, body: Bytes, end: Instant) -> Result<Response> {
-        let number = line.number;
-        let answered = timeout_at(end, line.exchange(body)).await;
-        let answer = answered.unwrap_or_else(|_| Err(late(address)));
+    /// send_on sends a message on a connection, and forgets the connection if there
+    /// is no answer.
+    async fn send_on(
+        &self,
+        address: &str,
+        connection: Connection,
+        body: Bytes,
+        end: Instant,
+    ) -> Result<Response> {
+        let number = connection.number;
+        let answered = timeout_at(end, connection.exchange(body)).await;
+        let answer = answered.unwrap_or_else(|_| Err(timed_out(address)));
         if answer.is_err() {
             self.forget(address, number);
         }
         answer
     }
 
-    fn kept(&self, address: &str) -> Option<Line> {
-        self.lines.borrow().get(address).cloned()
+    fn find_kept(&self, address: &str) -> Option<Connection> {
+        self.connections.borrow().get(address).cloned()
     }
 
-    /// forget keeps a connection no longer. One that was opened since stays.
+    /// forget removes the connection with this number. A connection that replaced
+    /// it stays.
     fn forget(&self, address: &str, number: u64) {
-        let mut lines = self.lines.borrow_mut();
-        if lines.get(address).is_some_and(|line| line.number == number) {
-            lines.remove(address);
+        let mut connections = self.connections.borrow_mut();
+        if connections
+            .get(address)
+            .is_some_and(|connection| connection.number == number)
+        {
+            connections.remove(address);
         }
     }
 
-    async fn open(&self, address: &str) -> Result<Line> {
+    async fn open(&self, address: &str) -> Result<Connection> {
         let stream = socket::connect(address).await?;
-        let (sender, connection) = client::handshake(stream).await.map_err(broken)?;
-        // Its errors come to light at the message that uses the connection.
-        tokio::task::spawn_local(async move { drop(connection.await) });
+        let (sender, driver) = client::handshake(stream).await.map_err(broken)?;
+        // The message that uses the connection reports its errors.
+        tokio::task::spawn_local(async move { drop(driver.await) });
         self.opened.set(self.opened.get() + 1);
-        let line = Line {
+        let connection = Connection {
             sender,
             number: self.opened.get(),
             answered: Rc::new(Cell::new(Instant::now())),
         };
-        let mut lines = self.lines.borrow_mut();
-        lines.insert(address.to_owned(), line.clone());
-        Ok(line)
+        let mut connections = self.connections.borrow_mut();
+        connections.insert(address.to_owned(), connection.clone());
+        Ok(connection)
     }
 }
 
-fn late(address: &str) -> Error {
+fn timed_out(address: &str) -> Error {
     Error::new(Kind::Unreachable, format!("{address}: no answer in time"))
 }
 
-/// serve answers the messages that come to a listener, and counts the open
-/// connections.
+/// serve answers the messages that arrive at a listener, and keeps `open` at the
+/// number of open connections.
 pub async fn serve<S: Service>(listener: TcpListener, service: S, open: Rc<Cell<usize>>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -299,26 +316,26 @@
             continue;
         };
         if stream.set_nodelay(true).is_err() {
-            // The other daemon is gone already.
+            // The other daemon has closed the connection already.
             continue;
         }
         let (service, open) = (service.clone(), Rc::clone(&open));
         tokio::task::spawn_local(async move {
             open.set(open.get() + 1);
-            connection(stream, service).await;
+            serve_connection(stream, service).await;
             open.set(open.get() - 1);
         });
     }
 }
 
-async fn connection<S: Service>(stream: TcpStream, service: S) {
-    let Ok(Ok(mut connection)) = timeout(LINE_TIMEOUT, server::handshake(stream)).await else {
+async fn serve_connection<S: Service>(stream: TcpStream, service: S) {
+    let Ok(Ok(mut connection)) = timeout(IDLE_TIMEOUT, server::handshake(stream)).await else {
         return;
     };
-    while let Ok(Some(Ok((request, respond)))) = timeout(LINE_TIMEOUT, connection.accept()).await {
+    while let Ok(Some(Ok((request, respond)))) = timeout(IDLE_TIMEOUT, connection.accept()).await {
         let service = service.clone();
         let answer = answer(request.into_body(), respond, service);
-        // A failed answer is seen by the daemon that asked.
+        // The daemon that sent the message notices if its answer fails.
         tokio::task::spawn_local(async move { drop(answer.await) });
     }
 }
--- a/crates/stackpier-scheduler/src/member.rs
+++ b/crates/stackpier-scheduler/src/member.rs
@@ -177,7 +177,7 @@
 
 impl<P: Platform> Monitor<P> {
     async fn turn(&mut self) {
-        self.node.size_relays();
+        self.node.update_helper_count();
         if let Some(own) = self.node.unloaded() {
             let earlier = Earlier {
                 may_act: true,
--- a/crates/stackpier-scheduler/src/relay/batch.rs
+++ b/crates/stackpier-scheduler/src/relay/batch.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The messages between an owner and the daemons that call workers for it, and the
-//! payloads of jobs that both sides keep.
+//! The messages between the owner and the daemons that call workers for it, and the payloads
+//! of jobs that these daemons keep.
 
 use std::{collections::VecDeque, rc::Rc};
 
@@ -10,46 +10,48 @@
 
 use super::recent::Recent;
 
-/// KEPT is how many payloads a daemon keeps. The tasks of a job start over some seconds,
-/// in which a large cell of today's users takes 60 jobs; the largest payload has 4,000
-/// bytes, so this is half a megabyte at most.
-pub(super) const KEPT: usize = 128;
+/// MAX_PAYLOADS is how many payloads a daemon keeps. The tasks of a job start within some
+/// seconds, during which a large cell accepts 60 jobs. A payload has at most 4,000 bytes, so
+/// all of them take half a megabyte at most.
+pub(super) const MAX_PAYLOADS: usize = 128;
 
-/// Batch is calls to workers that another daemon is to send.
+/// Batch holds calls to workers that another daemon sends for the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch {
-    /// Where the owner takes the answers.
+    /// The address to which the answers go.
     pub(super) owner: String,
     /// The owner's fence.
     fence: u64,
     /// The payloads that the other daemon is not known to have.
     payloads: Vec<Payload>,
-    starts: Vec<Numbered<Order>>,
-    looks: Vec<Numbered<Look>>,
+    starts: Vec<Numbered<StartCall>>,
+    #[serde(rename = "looks")]
+    renewals: Vec<Numbered<RenewalCall>>,
 }
 
-/// Numbered is a call or an answer with the owner's number of the call.
+/// Numbered pairs a call or an answer with the number that the owner gave the call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Numbered<T> {
-    /// The number.
+    /// The number of the call.
     pub number: u64,
     /// The call or the answer.
     pub item: T,
 }
 
-/// Payload is the payload of a job.
+/// Payload holds the payload of a job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Payload {
     job: key::Job,
     text: String,
 }
 
-/// Order is a start.
+/// StartCall orders a start, without the job's payload.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Order {
+struct StartCall {
     address: String,
-    /// The life of the worker that is meant.
-    life: String,
+    /// The incarnation of the worker that the call is for.
+    #[serde(rename = "life")]
+    worker_id: String,
     task: TaskName,
     run: u32,
     /// The end of the lease, by the worker's clock in milliseconds.
@@ -58,42 +60,44 @@
     ticket: Option<String>,
 }
 
-/// Look is a hold.
+/// RenewalCall orders a lease renewal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Look {
+struct RenewalCall {
     address: String,
-    /// The life of the worker that is meant.
-    life: String,
+    /// The incarnation of the worker that the call is for.
+    #[serde(rename = "life")]
+    worker_id: String,
     deadline_ms: Option<u64>,
-    noted: u64,
+    #[serde(rename = "noted")]
+    acked: u64,
     wait_ms: u64,
 }
 
-/// Outcome is the answer to a call.
+/// Outcome holds the answer to a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Outcome {
     /// The start was sent, and this is the worker's answer.
     Started(Started),
-    /// The start was not sent, as its job's payload is not known.
+    /// The start was not sent, as the daemon does not have the job's payload.
     NoPayload,
-    /// The worker's answer to a look.
+    /// The worker's answer to a lease renewal.
     Held(Renewed),
 }
 
 impl Batch {
-    /// new holds no calls. Answers go to `owner`.
+    /// new returns an empty batch whose answers go to the address `owner`.
     pub fn new(owner: String) -> Batch {
         Batch {
             owner,
             fence: 0,
             payloads: Vec::new(),
             starts: Vec::new(),
-            looks: Vec::new(),
+            renewals: Vec::new(),
         }
     }
 
-    /// add_start adds a start, with its payload if the other daemon is not known to have
-    /// it. The owner gives no other call the same number.
+    /// add_start adds a start, and its job's payload unless the job is in `known`, the jobs
+    /// whose payloads the other daemon has. No two calls of the owner have the same number.
     pub fn add_start(&mut self, number: u64, start: &Start, known: &mut Recent<key::Job>) {
         let job = start.order.task.job;
         self.fence = start.order.fence;
@@ -103,9 +107,9 @@
                 text: start.payload.to_string(),
             });
         }
-        let item = Order {
+        let item = StartCall {
             address: start.order.address.clone(),
-            life: start.order.worker_id.clone(),
+            worker_id: start.order.worker_id.clone(),
             task: start.order.task,
             run: start.order.run,
             deadline_ms: start.deadline_ms,
@@ -115,72 +119,73 @@
         self.starts.push(Numbered { number, item });
     }
 
-    /// add_look adds a look at a worker.
-    pub(super) fn add_look(&mut self, number: u64, hold: &Renewal) {
-        self.fence = hold.fence;
-        let item = Look {
-            address: hold.address.clone(),
-            life: hold.worker_id.clone(),
-            deadline_ms: hold.deadline_ms,
-            noted: hold.acked,
-            wait_ms: hold.wait_ms,
+    /// add_renewal adds a lease renewal.
+    pub(super) fn add_renewal(&mut self, number: u64, renewal: &Renewal) {
+        self.fence = renewal.fence;
+        let item = RenewalCall {
+            address: renewal.address.clone(),
+            worker_id: renewal.worker_id.clone(),
+            deadline_ms: renewal.deadline_ms,
+            acked: renewal.acked,
+            wait_ms: renewal.wait_ms,
         };
-        self.looks.push(Numbered { number, item });
+        self.renewals.push(Numbered { number, item });
     }
 
-    /// sorts returns of how many sorts of calls there are any.
-    pub(super) fn sorts(&self) -> u32 {
-        u32::from(!self.starts.is_empty()) + u32::from(!self.looks.is_empty())
+    /// count_kinds returns how many kinds of calls, starts and renewals, the batch contains.
+    pub(super) fn count_kinds(&self) -> u32 {
+        u32::from(!self.starts.is_empty()) + u32::from(!self.renewals.is_empty())
     }
 
     /// numbers returns the numbers of all calls.
     pub(super) fn numbers(&self) -> Vec<u64> {
         let starts = self.starts.iter().map(|start| start.number);
         starts
-            .chain(self.looks.iter().map(|look| look.number))
+            .chain(self.renewals.iter().map(|renewal| renewal.number))
             .collect()
     }
 
-    /// first returns the number of the first call, which no other batch has: each process
+    /// first_number returns the number of the first call. It identifies the batch, as each process
     /// numbers its calls from a random start.
-    pub(super) fn first(&self) -> Option<u64> {
+    pub(super) fn first_number(&self) -> Option<u64> {
         let start = self.starts.first().map(|start| start.number);
-        start.or(self.looks.first().map(|look| look.number))
+        start.or(self.renewals.first().map(|renewal| renewal.number))
     }
 
-    /// take_starts returns the starts, `None` for those without a payload.
+    /// take_starts stores the payloads, and removes and returns the starts, with `None` for
+    /// those without a payload.
     pub(super) fn take_starts(&mut self, payloads: &mut Payloads) -> Vec<Numbered<Option<Start>>> {
         for payload in self.payloads.drain(..) {
             payloads.insert(payload.job, payload.text);
         }
         let fence = self.fence;
-        let start = |Numbered { number, item }: Numbered<Order>| Numbered {
+        let start = |Numbered { number, item }: Numbered<StartCall>| Numbered {
             number,
-            item: item.start(fence, payloads),
+            item: item.into_start(fence, payloads),
         };
         self.starts.drain(..).map(start).collect()
     }
 
-    /// take_looks returns the looks.
-    pub(super) fn take_looks(&mut self) -> Vec<Numbered<Renewal>> {
+    /// take_renewals removes and returns the renewals.
+    pub(super) fn take_renewals(&mut self) -> Vec<Numbered<Renewal>> {
         let fence = self.fence;
-        let look = |Numbered { number, item }: Numbered<Look>| Numbered {
+        let renewal = |Numbered { number, item }: Numbered<RenewalCall>| Numbered {
             number,
-            item: item.hold(fence),
+            item: item.into_renewal(fence),
         };
-        self.looks.drain(..).map(look).collect()
+        self.renewals.drain(..).map(renewal).collect()
     }
 }
 
-impl Order {
-    fn start(self, fence: u64, payloads: &Payloads) -> Option<Start> {
+impl StartCall {
+    fn into_start(self, fence: u64, payloads: &Payloads) -> Option<Start> {
         let payload = payloads.get(self.task.job)?;
         Some(Start {
             order: cell::Order {
-                // Only the owner's arena knows the run.
+                // Keys of runs are only valid in the owner.
                 key: Default::default(),
                 address: self.address,
-                worker_id: self.life,
+                worker_id: self.worker_id,
                 task: self.task,
                 run: self.run,
                 fence,
@@ -194,23 +199,23 @@
     }
 }
 
-impl Look {
-    fn hold(self, fence: u64) -> Renewal {
+impl RenewalCall {
+    fn into_renewal(self, fence: u64) -> Renewal {
         Renewal {
-            // Only the owner's arena knows the worker.
+            // Keys of workers are only valid in the owner.
             worker: WorkerKey::default(),
             data_centre: String::new(),
             address: self.address,
-            worker_id: self.life,
+            worker_id: self.worker_id,
             fence,
             deadline_ms: self.deadline_ms,
-            acked: self.noted,
+            acked: self.acked,
             wait_ms: self.wait_ms,
         }
     }
 }
 
-/// Payloads are the latest payloads that a daemon was sent.
+/// Payloads holds the latest payloads that a daemon was sent, by job.
 #[derive(Debug, Default)]
 pub(super) struct Payloads {
     latest: VecDeque<(key::Job, Rc<str>)>,
@@ -220,7 +225,7 @@
     fn insert(&mut self, job: key::Job, text: String) {
         self.latest.retain(|(other, _)| *other != job);
         self.latest.push_back((job, Rc::from(text)));
-        if self.latest.len() > KEPT {
+        if self.latest.len() > MAX_PAYLOADS {
             self.latest.pop_front();
         }
     }
--- a/crates/stackpier-scheduler/src/relay/helper.rs
+++ b/crates/stackpier-scheduler/src/relay/helper.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The side of a daemon that calls workers for the owner.
+//! Sending calls to workers for the owner, and returning the answers.
 
 use std::time::Duration;
 
@@ -14,21 +14,25 @@
 
 use super::batch::{Batch, Numbered, Outcome};
 
-/// START_LIMIT bounds a start that is sent for the owner: workers answer within some
-/// milliseconds, and the owner's own calls wait for 700 ms.
+/// START_LIMIT bounds a start that is sent for the owner. Workers answer within a few
+/// milliseconds; starts that the owner sends itself may take 700 ms.
 const START_LIMIT: Duration = Duration::from_millis(300);
-/// GATHER_MS is how long answers are gathered: more than one of them goes into a message
-/// where work ends often.
+/// GATHER_MS is how long answers are gathered for a message. Where tasks end often, several
+/// answers share a message.
 const GATHER_MS: u64 = 5;
-/// ANSWER_LIMIT bounds a message with answers: the owner waits no longer.
+/// ANSWER_LIMIT bounds sending a message with answers. The owner waits no longer for them.
 const ANSWER_LIMIT: Duration = Duration::from_millis(300);
 
 impl<P: Platform> Node<P> {
-    /// call_for sends the calls of a batch to their workers, unless it is a second copy.
-    pub(crate) fn call_for(&self, mut batch: Batch) {
-        let first = batch.first();
-        if first.is_some_and(|first| !self.relays.taken.borrow_mut().insert(first)) {
-            let text = format!("calls of {} came twice and are sent once", batch.owner);
+    /// send_batch sends the calls of a batch to their workers. A second copy of a batch is
+    /// ignored.
+    pub(crate) fn send_batch(&self, mut batch: Batch) {
+        let first = batch.first_number();
+        if first.is_some_and(|first| !self.relays.received.borrow_mut().insert(first)) {
+            let text = format!(
+                "a batch of calls from {} arrived twice, the second copy is ignored",
+                batch.owner
+            );
             self.say("relay", &text);
             return;
         }
@@ -36,20 +40,20 @@
         for Numbered { number, item } in starts {
             let (node, owner) = (self.clone(), batch.owner.clone());
             tokio::task::spawn_local(async move {
-                let item = node.start_for(item).await;
+                let item = node.send_start_for(item).await;
                 node.answer_owner(owner, Numbered { number, item }).await;
             });
         }
-        for Numbered { number, item } in batch.take_looks() {
+        for Numbered { number, item } in batch.take_renewals() {
             let (node, owner) = (self.clone(), batch.owner.clone());
             tokio::task::spawn_local(async move {
-                let item = Outcome::Held(node.hold_for(&item).await);
+                let item = Outcome::Held(node.send_renewal_for(&item).await);
                 node.answer_owner(owner, Numbered { number, item }).await;
             });
         }
     }
 
-    async fn start_for(&self, start: Option<Start>) -> Outcome {
+    async fn send_start_for(&self, start: Option<Start>) -> Outcome {
         let Some(start) = start else {
             return Outcome::NoPayload;
         };
@@ -57,11 +61,12 @@
         Outcome::Started(sent.unwrap_or(Started::Silent))
     }
 
-    async fn hold_for(&self, hold: &Renewal) -> Renewed {
-        self.platform.hold(hold).await
+    async fn send_renewal_for(&self, renewal: &Renewal) -> Renewed {
+        self.platform.renew(renewal).await
     }
 
-    /// answer_owner sends an answer, with others that come within a short while.
+    /// answer_owner sends an answer to the owner, together with others that are ready within
+    /// `GATHER_MS`.
     async fn answer_owner(&self, owner: String, answer: Numbered<Outcome>) {
         let first = {
             let mut answers = self.relays.answers.borrow_mut();
@@ -78,7 +83,7 @@
         };
         let request = Request::Answers(answers);
         if let Err(error) = self.links.call(&owner, &request, ANSWER_LIMIT).await {
-            self.say("relay", &format!("answers did not reach {owner}: {error}"));
+            self.say("relay", &format!("cannot send answers to {owner}: {error}"));
         }
     }
 }
--- a/crates/stackpier-scheduler/src/relay/recent.rs
+++ b/crates/stackpier-scheduler/src/relay/recent.rs
@@ -1,36 +1,37 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A set that keeps the latest of its members.
+//! A set of bounded size that keeps its latest members.
 
 use std::{
     collections::{HashSet, VecDeque},
     hash::Hash,
 };
 
-/// Recent is the latest members of a set, up to a number.
+/// Recent holds the latest members that were inserted, up to its capacity.
 #[derive(Debug)]
 pub struct Recent<T> {
-    most: usize,
+    capacity: usize,
     members: HashSet<T>,
     order: VecDeque<T>,
 }
 
 impl<T: Copy + Eq + Hash> Recent<T> {
-    /// new is empty and keeps `most` members.
-    pub fn new(most: usize) -> Recent<T> {
+    /// new returns an empty set that keeps up to `capacity` members.
+    pub fn new(capacity: usize) -> Recent<T> {
         Recent {
-            most,
+            capacity,
             members: HashSet::new(),
             order: VecDeque::new(),
         }
     }
 
-    /// insert adds a member and tells whether it is new. The oldest makes room for it.
+    /// insert adds a member and returns whether it is new. The oldest member is removed if the
+    /// set exceeds its capacity.
     pub fn insert(&mut self, member: T) -> bool {
         if !self.members.insert(member) {
             return false;
         }
         self.order.push_back(member);
-        if self.order.len() > self.most
+        if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
             self.members.remove(&oldest);
@@ -38,7 +39,7 @@
         true
     }
 
-    /// remove takes a member away.
+    /// remove removes a member.
     pub fn remove(&mut self, member: T) {
         self.members.remove(&member);
         self.order.retain(|other| *other != member);
