--- a/crates/stackpier-scheduler/src/http.rs
+++ b/crates/stackpier-scheduler/src/http.rs
@@ -35,8 +35,8 @@
 /// for which a call waits after its answer is due. So if the connections all went
 /// silent, their last answers are older than this when the call times out.
 const RECENT_ANSWER: Duration = Duration::from_millis(300);
-/// MAX_STALL is the longest pause between two parts of a long answer. On a saturated link of
-/// 2 Mbit/s the packets of an open connection wait for half a second.
+/// MAX_STALL bounds the pause between two parts of a long answer. It is longer than the half
+/// second for which the packets of an open connection wait on a saturated link of 2 Mbit/s.
 const MAX_STALL: Duration = Duration::from_millis(800);
 /// MAX_PART_AGE is how long after the last part of a long answer the answer still counts as
 /// arriving. Other calls wait behind it on the link.
@@ -104,8 +104,8 @@
 }
 
 impl Client {
-    /// call sends a call and returns its answer. After an error or a time-out the
-    /// call may still be carried out. Its connection is not used again then.
+    /// call sends a call and returns its answer. After an error or a time-out its
+    /// connection is not used again, and the call may still be carried out.
     pub async fn call(&self, address: &str, call: Call) -> Result<Answer> {
         let end = Instant::now() + call.limit;
         let exchange = async {
@@ -156,8 +156,8 @@
     /// close_suspect closes the idle connections to an address on which no answer
     /// arrived recently.
     fn close_suspect(&self, address: &str) {
-        if let Some(kept) = self.idle.borrow_mut().get_mut(address) {
-            kept.retain(|kept| kept.answered.elapsed() < RECENT_ANSWER);
+        if let Some(connections) = self.idle.borrow_mut().get_mut(address) {
+            connections.retain(|connection| connection.answered.elapsed() < RECENT_ANSWER);
         }
     }
 
@@ -203,9 +203,9 @@
     fn take_idle(&self, address: &str) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
         let senders = idle.get_mut(address)?;
-        while let Some(kept) = senders.pop() {
-            if !kept.sender.is_closed() {
-                return Some(kept.sender);
+        while let Some(connection) = senders.pop() {
+            if !connection.sender.is_closed() {
+                return Some(connection.sender);
             }
         }
         None
--- a/crates/stackpier-scheduler/src/jobs.rs
+++ b/crates/stackpier-scheduler/src/jobs.rs
@@ -123,15 +123,15 @@
             self.take_ownership(item);
         }
         let key = keys::job(job);
-        let kept = items
+        let stored = items
             .iter()
             .find(|item| item.key == key && item.revision > 0);
-        if let Some(item) = kept {
+        if let Some(item) = stored {
             let record =
                 decode(&item.value).map_err(|error| unreadable(Kind::WriteUnknown, &error))?;
             self.notify_accepted(job, record);
         }
-        Ok(kept.is_some())
+        Ok(stored.is_some())
     }
 
     /// commit commits a transaction, through a peer if this daemon can't reach the
@@ -178,7 +178,7 @@
         matches!(sent, Ok(Response::Flag(true)))
     }
 
-    /// peers returns the addresses of up to `count` other daemons, the owner first.
+    /// peers returns the addresses of up to `count` other daemons, the owner's first.
     fn peers(&self, count: usize) -> Vec<String> {
         let own = &self.settings.vm;
         let owned = self.owned.borrow();
@@ -227,15 +227,15 @@
         progress: Option<Box<Progress>>,
     ) {
         if self.is_at(fence) && self.job_state(job).is_none() {
-            let is_accepted = source == Source::Store || record.fence >= fence;
+            let is_added = source == Source::Store || record.fence >= fence;
             let state = progress.as_ref().map(|progress| progress.state);
             let text = format!(
-                "job {}, learnt by {source:?}, accepted under fence {}, saved state {state:?}",
-                if is_accepted { "added" } else { "ignored" },
+                "job {}, learnt from {source:?}, accepted under fence {}, saved state {state:?}",
+                if is_added { "added" } else { "ignored" },
                 record.fence
             );
             self.say_of("job", Some(keys::hex(job)), &text);
-            if !is_accepted {
+            if !is_added {
                 return;
             }
         }
--- a/crates/stackpier-scheduler/src/link.rs
+++ b/crates/stackpier-scheduler/src/link.rs
@@ -84,9 +84,9 @@
 
 impl Request {
     /// resend_after returns how long a message waits for its answer on an open
-    /// connection before it is also sent on a new one. A write is not sent twice,
-    /// as the store charges for each: it only follows an answered
-    /// [`Request::Store`] on the same connection.
+    /// connection before it is also sent on a new one. A write waits for its whole
+    /// limit, as the store charges for each one. Its connection is unlikely to be
+    /// silent: a write only follows an answered [`Request::Store`] on it.
     fn resend_after(&self, limit: Duration) -> Duration {
         match self {
             Request::Write(_) => limit,
--- a/crates/stackpier-scheduler/src/relay.rs
+++ b/crates/stackpier-scheduler/src/relay.rs
@@ -72,14 +72,13 @@
 /// most. That makes 2,700 batches, which take about 100 KB in all.
 const MAX_RECEIVED: usize = 4_096;
 
-/// DIRECT_SHARE is the share of the owner's link and processor that the calls which it sends
-/// itself may use.
+/// DIRECT_SHARE is the share of the owner's link and processor that is available for the calls
+/// that it sends itself.
 const DIRECT_SHARE: f64 = 0.3;
 /// SAVED_MS bounds the unused time that is saved up, in milliseconds.
 const SAVED_MS: f64 = 100.0;
 
-/// Budget bounds how much of the owner's link and processor the calls which it sends itself
-/// may use.
+/// Budget limits the calls that the owner sends itself to a share of its link and processor.
 #[derive(Debug)]
 struct Budget {
     /// The time that may still be used, in milliseconds.
@@ -283,9 +282,9 @@
         self.metrics.passed_calls.add(1, &labels(call, outcome));
     }
 
-    /// helper returns the address of the daemon that calls a worker, or `None` if this
-    /// daemon does so. It is always the same one as long as it answers, so that the worker
-    /// has few connections.
+    /// choose_helper returns the address of the daemon that calls a worker, or `None` if this
+    /// daemon does so. The same daemon is chosen for a worker as long as it answers, so that
+    /// the worker has few connections.
     fn choose_helper(&self, worker: &str, data_centre: &str, busy_ms: f64) -> Option<String> {
         let now = self.mono();
         let relays = &self.relays;
--- a/crates/stackpier-scheduler/tests/settings.rs
+++ b/crates/stackpier-scheduler/tests/settings.rs
@@ -1,10 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Settings are checked: what is wrong ends the start with one clear line.
+//! Tests of reading settings. An invalid setting is refused with an error of one line that
+//! names it.
 
 use rstest::rstest;
 use stackpier_cell::{Mechanism, RATINGS_PER_CORE};
 use stackpier_scheduler::Settings;
 
+/// text returns settings with the given values of `cores` and `without`.
 fn text(cores: &str, without: &str) -> String {
     format!(
         r#"{{"vm":"a","data_centre":"dc","callers":"127.0.0.1:1","readiness":"127.0.0.1:2",
@@ -47,31 +49,31 @@
 }
 
 #[rstest]
-fn placing_may_do_less_on_a_smaller_vm() {
+fn placement_does_less_on_a_smaller_vm() {
     let settings = Settings::parse(text("0.25", "[]").as_bytes()).unwrap();
     assert_eq!(settings.cell.ratings_per_ms, RATINGS_PER_CORE / 4);
 }
 
-/// with_beat returns settings whose workers write their entries that often.
-fn with_beat(beat_ms: &str) -> String {
+/// with_heartbeat returns settings whose workers write their entries every so many milliseconds.
+fn with_heartbeat(heartbeat_ms: &str) -> String {
     let usual = text("1", "[]");
     let (head, _) = usual.rsplit_once('}').expect("an object");
-    format!(r#"{head},"worker_heartbeat_ms":{beat_ms}}}"#)
+    format!(r#"{head},"worker_heartbeat_ms":{heartbeat_ms}}}"#)
 }
 
 #[rstest]
-fn entries_are_waited_for_by_the_workers_heartbeat() {
+fn entries_become_stale_by_the_workers_heartbeat() {
     let usual = Settings::parse(text("1", "[]").as_bytes()).unwrap();
     assert_eq!(usual.cell.stale_entry_ms, 6_000);
-    let slow = Settings::parse(with_beat("4000").as_bytes()).unwrap();
+    let slow = Settings::parse(with_heartbeat("4000").as_bytes()).unwrap();
     assert_eq!(slow.cell.stale_entry_ms, 16_000);
 }
 
 #[rstest]
 #[case::none("0")]
 #[case::too_long("600001")]
-fn a_heartbeat_out_of_bounds_is_refused(#[case] beat_ms: &str) {
-    let error = Settings::parse(with_beat(beat_ms).as_bytes()).unwrap_err();
+fn a_heartbeat_out_of_bounds_is_refused(#[case] heartbeat_ms: &str) {
+    let error = Settings::parse(with_heartbeat(heartbeat_ms).as_bytes()).unwrap_err();
     let line = error.to_string();
     assert!(line.contains("worker_heartbeat_ms"), "{line}");
     assert!(!line.contains('\n'));
--- a/crates/stackpier-scheduler/tests/silence.rs
+++ b/crates/stackpier-scheduler/tests/silence.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Connections that go silent for good, without a reset, while new ones work.
+//! Tests of connections that go silent for good, without a reset, while new ones work, and of
+//! the limits on idle and stalled connections.
 
 use std::{
     cell::Cell,
@@ -28,31 +29,33 @@
     time::{sleep, timeout},
 };
 
-/// LIMIT bounds a call that may meet a silent connection. It is long enough for
-/// an answer on a machine that is busy with other tests.
+/// LIMIT bounds a call that may use a silent connection. An answer arrives within
+/// it even on a machine that is busy with other tests.
 const LIMIT: Duration = Duration::from_millis(1_200);
-/// PREPARE bounds a call before the silence.
-const PREPARE: Duration = Duration::from_secs(10);
-/// KEPT is how many connections are kept before they go silent.
-const KEPT: usize = 6;
-/// WORK is how long an answer takes, so that calls at once need a connection
+/// PREPARE_LIMIT bounds a call before connections go silent.
+const PREPARE_LIMIT: Duration = Duration::from_secs(10);
+/// IDLE is how many idle connections a client has when they go silent.
+const IDLE: usize = 6;
+/// WORK is how long an answer takes, so that simultaneous calls need a connection
 /// each.
 const WORK: Duration = Duration::from_millis(60);
-/// SLOW is the path of a call that waits, and SLOW_WORK how long.
+/// SLOW is the path of a call whose answer takes SLOW_WORK.
 const SLOW: &str = "/slow";
 const SLOW_WORK: Duration = Duration::from_secs(3);
-/// CONNECT_BOUND is the longest wait for a connection.
+/// CONNECT_BOUND bounds the time until opening a connection is given up.
 const CONNECT_BOUND: Duration = Duration::from_millis(1_500);
-/// BODY_BOUND is the longest wait for the rest of a request.
+/// BODY_BOUND bounds the time until a request with an incomplete body is refused.
 const BODY_BOUND: Duration = Duration::from_secs(5);
-/// LINE_BOUND is the longest life of a daemon's connection without messages.
-const LINE_BOUND: Duration = Duration::from_secs(10);
-/// IDLE_BOUND is the longest life of a client's connection without requests.
+/// MESSAGE_BOUND bounds the time until a connection between daemons without
+/// messages is closed.
+const MESSAGE_BOUND: Duration = Duration::from_secs(10);
+/// IDLE_BOUND bounds the time until a client's connection without requests is
+/// closed.
 const IDLE_BOUND: Duration = Duration::from_secs(18);
 /// MAX_BODY bounds the body of a request, in bytes.
 const MAX_BODY: usize = 1_000;
 
-/// Echo answers requests and messages.
+/// Echo answers a request with its body, and every message with a yes.
 #[derive(Clone)]
 struct Echo;
 
@@ -73,16 +76,17 @@
     }
 }
 
-/// local runs a test on an event loop with local tasks.
-fn local<F: Future<Output = Result<()>>>(test: F) -> Result<()> {
+/// run_local runs a test on an event loop with local tasks.
+fn run_local<F: Future<Output = Result<()>>>(test: F) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// proxied returns the address of a new proxy on the way to another address.
-fn proxied(to: SocketAddr) -> Result<(String, Proxy)> {
+/// start_proxy starts a proxy that forwards to an address, and returns the proxy
+/// and its address.
+fn start_proxy(to: SocketAddr) -> Result<(String, Proxy)> {
     let listen = ports::free().to_string();
     let to = to.to_string();
     let proxy = Proxy::start(Forward {
@@ -104,8 +108,8 @@
     Ok(address)
 }
 
-/// serve_links serves messages, and returns its address and the number of
-/// connections that are open.
+/// serve_links serves messages, and returns its address and the number of open
+/// connections.
 async fn serve_links() -> Result<(SocketAddr, Rc<Cell<usize>>)> {
     let address = ports::free();
     let listener = web::listen(address).await?;
@@ -124,12 +128,12 @@
     }
 }
 
-/// fill has a client keep some connections to an address.
-async fn fill(client: &Client, address: &str, count: usize) -> Result<()> {
+/// open_idle makes a client open `count` connections to an address and keep them idle.
+async fn open_idle(client: &Client, address: &str, count: usize) -> Result<()> {
     let calls = (0..count).map(|_| {
         let (client, address) = (client.clone(), address.to_owned());
         let call = Call {
-            limit: PREPARE,
+            limit: PREPARE_LIMIT,
             ..call()
         };
         spawn_local(async move { client.call(&address, call).await })
@@ -140,13 +144,14 @@
     Ok(())
 }
 
+/// Guards against calls that time out one by one on each of the silent idle connections.
 #[test]
-fn kept_connections_that_went_silent_cost_one_time_out() -> Result<()> {
-    local(async {
-        let (address, proxy) = proxied(serve_http().await?)?;
+fn idle_connections_that_went_silent_cost_one_time_out() -> Result<()> {
+    run_local(async {
+        let (address, proxy) = start_proxy(serve_http().await?)?;
         let client = Client::default();
-        fill(&client, &address, KEPT).await?;
-        assert_eq!(client.opened(), KEPT as u64);
+        open_idle(&client, &address, IDLE).await?;
+        assert_eq!(client.opened(), IDLE as u64);
         proxy.silence();
         let silent = Instant::now();
         let mut failed = 0;
@@ -154,13 +159,13 @@
             failed += 1;
         }
         println!("{failed} calls failed, {:?}", silent.elapsed());
-        assert_eq!(failed, 1, "the others are not tried");
+        assert_eq!(failed, 1, "the other connections are closed, not tried");
         Ok(())
     })
 }
 
-/// waiting sends a call that waits.
-fn waiting(client: &Client, address: &str) -> JoinHandle<Result<Answer, Error>> {
+/// send_slow sends a call whose answer takes SLOW_WORK.
+fn send_slow(client: &Client, address: &str) -> JoinHandle<Result<Answer, Error>> {
     let (client, address) = (client.clone(), address.to_owned());
     let call = Call {
         path: SLOW.to_owned(),
@@ -170,51 +175,52 @@
     spawn_local(async move { client.call(&address, call).await })
 }
 
-/// A connection that answered while another call waited may have gone silent
-/// with that call's connection.
+/// Guards against keeping idle connections that answered while another call waited. They may
+/// have gone silent together with that call's connection.
 #[test]
-fn a_late_call_that_waited_closes_what_answered_before_the_silence() -> Result<()> {
-    local(async {
-        let (address, proxy) = proxied(serve_http().await?)?;
+fn a_time_out_closes_connections_that_answered_before_the_silence() -> Result<()> {
+    run_local(async {
+        let (address, proxy) = start_proxy(serve_http().await?)?;
         let client = Client::default();
-        fill(&client, &address, KEPT).await?;
-        let waiting = waiting(&client, &address);
+        open_idle(&client, &address, IDLE).await?;
+        let slow = send_slow(&client, &address);
         sleep(WORK / 2).await;
-        fill(&client, &address, 1).await?;
+        open_idle(&client, &address, 1).await?;
         proxy.silence();
-        assert!(waiting.await?.is_err());
+        assert!(slow.await?.is_err());
         client.call(&address, call()).await?;
         Ok(())
     })
 }
 
 #[test]
-fn a_late_call_on_a_new_connection_closes_the_others() -> Result<()> {
-    local(async {
-        let (address, proxy) = proxied(serve_http().await?)?;
+fn a_time_out_on_a_new_connection_closes_the_others() -> Result<()> {
+    run_local(async {
+        let (address, proxy) = start_proxy(serve_http().await?)?;
         let client = Client::default();
-        let waiting = waiting(&client, &address);
+        let slow = send_slow(&client, &address);
         sleep(WORK / 2).await;
-        fill(&client, &address, KEPT).await?;
+        open_idle(&client, &address, IDLE).await?;
         proxy.silence();
-        assert!(waiting.await?.is_err());
+        assert!(slow.await?.is_err());
         client.call(&address, call()).await?;
         Ok(())
     })
 }
 
+/// Guards against a time-out that closes a connection opened after the others went silent.
 #[test]
-fn connections_that_answered_since_are_kept() -> Result<()> {
-    local(async {
-        let (address, proxy) = proxied(serve_http().await?)?;
+fn connections_that_answered_after_the_silence_are_kept() -> Result<()> {
+    run_local(async {
+        let (address, proxy) = start_proxy(serve_http().await?)?;
         let client = Client::default();
-        fill(&client, &address, 1).await?;
+        open_idle(&client, &address, 1).await?;
         proxy.silence();
         let silent = spawn_local({
             let (client, address) = (client.clone(), address.clone());
             async move { client.call(&address, call()).await }
         });
-        // Its answer comes just before the other call's time-out, or after it.
+        // The answer to the next call arrives shortly before or after the silent call's time-out.
         sleep(LIMIT - WORK - WORK / 2).await;
         client.call(&address, call()).await?;
         assert!(silent.await?.is_err());
@@ -225,13 +231,13 @@
 }
 
 #[test]
-fn a_connection_that_is_not_opened_is_given_up() -> Result<()> {
-    local(async {
+fn opening_a_connection_is_given_up_in_time() -> Result<()> {
+    run_local(async {
         let socket = TcpSocket::new_v4()?;
         socket.bind(ports::free())?;
         let listener = socket.listen(0)?;
         let address = listener.local_addr()?;
-        // One that waits to be accepted fills the queue: others hang.
+        // A connection that waits to be accepted fills the queue, so that others hang.
         let _waiting = TcpStream::connect(address).await?;
         let start = Instant::now();
         let limit = 4 * CONNECT_BOUND;
@@ -245,12 +251,14 @@
 }
 
 #[test]
-fn a_message_on_a_silent_line_is_answered_on_a_new_one() -> Result<()> {
-    local(async {
+fn a_message_on_a_silent_connection_is_answered_on_a_new_one() -> Result<()> {
+    run_local(async {
         let (to, _) = serve_links().await?;
-        let (address, proxy) = proxied(to)?;
+        let (address, proxy) = start_proxy(to)?;
         let links = Links::default();
-        links.call(&address, &link::Request::Store, PREPARE).await?;
+        links
+            .call(&address, &link::Request::Store, PREPARE_LIMIT)
+            .await?;
         proxy.silence();
         let silent = Instant::now();
         let answer = links.call(&address, &link::Request::Store, LIMIT).await;
@@ -262,14 +270,16 @@
 }
 
 #[test]
-fn a_late_time_out_does_not_close_the_line_that_was_opened_since() -> Result<()> {
-    local(async {
+fn a_later_time_out_keeps_the_connection_that_replaced_the_silent_one() -> Result<()> {
+    run_local(async {
         let (to, _) = serve_links().await?;
-        let (address, proxy) = proxied(to)?;
+        let (address, proxy) = start_proxy(to)?;
         let links = Links::default();
-        links.call(&address, &link::Request::Store, PREPARE).await?;
+        links
+            .call(&address, &link::Request::Store, PREPARE_LIMIT)
+            .await?;
         proxy.silence();
-        // The fifth is sent after the first one's time-out, before the others'.
+        // The fifth call is sent after the first one's time-out and before the others'.
         let calls = [1, 2, 3, 4, 10].map(|times| {
             let (links, address) = (links.clone(), address.clone());
             spawn_local(async move {
@@ -287,13 +297,15 @@
 }
 
 #[test]
-fn lines_without_messages_are_closed() -> Result<()> {
-    local(async {
+fn connections_without_messages_are_closed() -> Result<()> {
+    run_local(async {
         let (to, open) = serve_links().await?;
-        let _mute = TcpStream::connect(to).await?;
-        let (address, proxy) = proxied(to)?;
+        let _idle = TcpStream::connect(to).await?;
+        let (address, proxy) = start_proxy(to)?;
         let links = Links::default();
-        links.call(&address, &link::Request::Store, PREPARE).await?;
+        links
+            .call(&address, &link::Request::Store, PREPARE_LIMIT)
+            .await?;
         proxy.silence();
         assert_eq!(open.get(), 2);
         let closed = async {
@@ -301,7 +313,7 @@
                 sleep(LIMIT).await;
             }
         };
-        timeout(LINE_BOUND, closed).await?;
+        timeout(MESSAGE_BOUND, closed).await?;
         links.call(&address, &link::Request::Store, LIMIT).await?;
         Ok(())
     })
@@ -309,7 +321,7 @@
 
 #[test]
 fn a_request_whose_body_stops_is_refused() -> Result<()> {
-    local(async {
+    run_local(async {
         let mut stream = TcpStream::connect(serve_http().await?).await?;
         let head = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nabc";
         stream.write_all(head).await?;
@@ -322,7 +334,7 @@
 
 #[test]
 fn clients_connections_without_requests_are_closed() -> Result<()> {
-    local(async {
+    run_local(async {
         let mut stream = TcpStream::connect(serve_http().await?).await?;
         stream
             .write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
