--- a/crates/stackpier-scheduler/tests/settings.rs
+++ b/crates/stackpier-scheduler/tests/settings.rs
@@ -49,7 +49,7 @@
 }
 
 #[rstest]
-fn placement_does_less_on_a_smaller_vm() {
+fn placement_budget_shrinks_with_the_vm() {
     let settings = Settings::parse(text("0.25", "[]").as_bytes()).unwrap();
     assert_eq!(settings.cell.ratings_per_ms, RATINGS_PER_CORE / 4);
 }
--- a/crates/stackpier-scheduler/tests/silence.rs
+++ b/crates/stackpier-scheduler/tests/silence.rs
@@ -84,8 +84,8 @@
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// start_proxy starts a proxy that forwards to an address, and returns the proxy
-/// and its address.
+/// start_proxy starts a proxy that forwards to an address, and returns its own
+/// address and the proxy.
 fn start_proxy(to: SocketAddr) -> Result<(String, Proxy)> {
     let listen = ports::free().to_string();
     let to = to.to_string();
@@ -128,7 +128,8 @@
     }
 }
 
-/// open_idle makes a client open `count` connections to an address and keep them idle.
+/// open_idle makes `count` simultaneous calls to an address, which leaves the
+/// client with at least that many idle connections.
 async fn open_idle(client: &Client, address: &str, count: usize) -> Result<()> {
     let calls = (0..count).map(|_| {
         let (client, address) = (client.clone(), address.to_owned());
