--- a/crates/stackpier-scheduler/src/following.rs
+++ b/crates/stackpier-scheduler/src/following.rs
@@ -63,7 +63,7 @@
         };
         self.progress.remove(&job);
         self.node
-            .take_in(self.fence, self.source, job, Box::new(record), progress);
+            .add_job(self.fence, self.source, job, Box::new(record), progress);
     }
 
     /// saved_progress returns the progress of a job that earlier owners saved, if there is
--- a/crates/stackpier-scheduler/src/monitor.rs
+++ b/crates/stackpier-scheduler/src/monitor.rs
@@ -184,7 +184,7 @@
     /// owns it without having loaded it. Otherwise it checks the owner, and takes over once a
     /// reason to do so has lasted for as long as this daemon's rank requires.
     async fn check_and_take_over(&mut self) {
-        self.node.size_relays();
+        self.node.update_helper_count();
         if let Some(own) = self.node.unloaded() {
             let predecessor = Predecessor {
                 may_act: true,
