--- a/crates/stackpier-cell/tests/entries.rs
+++ b/crates/stackpier-cell/tests/entries.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the list of workers shows of one: entries that can't be read, services that no
-//! queue names, and room that shrinks.
+//! Entries in the list of workers: unreadable entries, services that no queue names, and
+//! capacity that shrinks.
 
 mod common;
 
@@ -14,7 +14,7 @@
 /// OTHER is another job.
 const OTHER: u64 = 2;
 
-/// shrunk describes a worker with only some cores left.
+/// shrunk describes a worker with a smaller capacity than usual.
 fn shrunk(place: usize, milli_cores: u32) -> Info {
     let usual = info(place);
     Info {
@@ -59,9 +59,9 @@
     assert_eq!(owner.state(JOB), Some(State::Completed));
 }
 
-/// An entry that was never readable names nobody, so there is nothing to keep.
+/// An entry that was never readable belongs to no known worker.
 #[test]
-fn an_entry_that_was_never_readable_is_left_aside() {
+fn an_entry_that_was_never_readable_is_ignored() {
     let mut owner = Owner::new(1);
     owner.feed(Event::Unreadable("who".to_owned()));
     owner.submit(JOB, spec(vec![step(1)]));
@@ -70,7 +70,7 @@
     assert_eq!(owner.cell.workers(), 1);
 }
 
-/// Its address may be anybody's.
+/// The address of such a worker may belong to any other process.
 #[test]
 fn a_worker_of_a_service_that_no_queue_names_is_not_called() {
     let mut owner = Owner::with(1, 1, false);
@@ -90,9 +90,9 @@
     assert_eq!(owner.places(JOB, 0), [0]);
 }
 
-/// The worker does not refuse what exceeds its room.
+/// The worker itself does not refuse starts that exceed its capacity.
 #[test]
-fn no_start_brings_a_worker_over_its_room_once_that_shrank() {
+fn no_start_exceeds_a_capacity_that_shrank() {
     let mut owner = Owner::new(1);
     owner.submit(JOB, spec(vec![long(6)]));
     owner.advance(500);
@@ -104,8 +104,8 @@
         "six cores of five are taken"
     );
     owner.advance(3_500);
-    let most = owner.max_reserved_milli();
-    assert!(most <= 6_000, "{most}");
+    let max_milli = owner.max_reserved_milli();
+    assert!(max_milli <= 6_000, "{max_milli}");
     assert!(!owner.places(OTHER, 0).is_empty(), "the first six are done");
     owner.feed(Event::Listed(info(0)));
     owner.advance(10_000);
@@ -113,23 +113,23 @@
 }
 
 #[test]
-fn what_is_being_stopped_still_counts_in_room_that_shrank() {
+fn runs_that_are_being_stopped_still_count_in_a_capacity_that_shrank() {
     let mut owner = Owner::new(1);
     owner.submit(JOB, spec(vec![long(8)]));
     owner.advance(500);
     owner.feed(Event::Listed(shrunk(0, 2_000)));
     owner.feed(Event::Cancelled(stackpier_core::key::Job(JOB)));
     owner.submit(OTHER, spec(vec![step(4)]));
-    let mut most = 0;
+    let mut max_runs = 0;
     for _ in 0..2_000 {
         owner.advance(1);
         let of_other = |run: &&stackpier_standin::fleet::Run| run.task.job.0 == OTHER;
         let runs = &owner.workers[0].runs;
         if runs.iter().any(|run| of_other(&run)) {
-            most = most.max(runs.len());
+            max_runs = max_runs.max(runs.len());
         }
     }
-    assert!(most <= 2, "{most} tasks of one core on two cores");
+    assert!(max_runs <= 2, "{max_runs} tasks of one core on two cores");
     owner.advance(5_000);
     assert_eq!(owner.state(OTHER), Some(State::Completed));
     assert_eq!(owner.starts_of(name(OTHER, 0, 0)), 1);
--- a/crates/stackpier-cell/tests/flow.rs
+++ b/crates/stackpier-cell/tests/flow.rs
@@ -1,8 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A burst of wide steps at a small owner. On a link of 2 Mbit/s, 250 bytes a millisecond,
-//! starts of 1.7 KB that were all sent at once kept heartbeats waiting for two seconds, and
-//! the owner lost its cell. A customer's sheet has 40 tasks in a step, 1,200 bytes in a
-//! payload and four wide jobs within a second.
+//! A burst of wide steps on an owner with a slow link.
+//!
+//! The failure: on a link of 2 Mbit/s, 250 bytes per millisecond, starts of 1.7 KB that were all
+//! sent at once delayed heartbeats by two seconds, and the owner lost its cell. The load is that
+//! of a real deployment: 40 tasks in a step, payloads of 1,200 bytes, and four wide jobs within a
+//! second.
 
 mod common;
 
@@ -11,17 +13,17 @@
 use stackpier_cell::{Event, Options};
 use stackpier_state::job::Spec;
 
-/// URGENT is a queue that goes before the others.
+/// URGENT is a queue with a higher priority than the others.
 const URGENT: &str = "urgent";
-/// WORKERS is enough for all tasks at once, eight on each.
+/// WORKERS is the number of workers: enough for all tasks at once, with eight on each.
 const WORKERS: usize = 40;
-/// WIDE is the tasks of the burst.
+/// WIDE is the number of tasks in the burst.
 const WIDE: u32 = 160;
-/// START_BYTES is what a link of 2 Mbit/s sends in 150 ms.
+/// START_BYTES is how many bytes a link of 2 Mbit/s sends in 150 ms.
 const START_BYTES: u64 = 37_500;
-/// MOST is how many starts of 1,650 bytes that is, and the one that fills it.
-const MOST: usize = 23;
-/// SLOW_MS is how long a full link takes to bring an answer.
+/// MAX_STARTS is how many starts of 1,650 bytes reach that limit, with the one that crosses it.
+const MAX_STARTS: usize = 23;
+/// SLOW_MS is how long an answer takes on a full link.
 const SLOW_MS: u64 = 150;
 
 fn owner() -> Owner {
@@ -47,21 +49,21 @@
 }
 
 #[rstest]
-fn no_more_starts_are_on_their_way_than_the_link_bears() {
+fn no_more_starts_wait_for_answers_than_the_link_carries() {
     let mut owner = owner();
     owner.submit(1, wide(WIDE));
     owner.advance(100);
     assert!(
-        owner.max_unanswered_starts <= MOST,
+        owner.max_unanswered_starts <= MAX_STARTS,
         "{}",
         owner.max_unanswered_starts
     );
     assert_eq!(owner.starts.len(), WIDE as usize);
 }
 
-/// The burst takes a second, by 23 starts in 150 ms. What is urgent does not wait for it.
+/// The burst takes a second, with 23 starts in 150 ms. Urgent tasks do not wait for it to end.
 #[rstest]
-fn what_is_urgent_goes_before_a_burst_that_waits_for_answers() {
+fn urgent_tasks_start_before_a_burst_that_waits_for_answers() {
     let mut owner = owner();
     owner.start_ms = SLOW_MS;
     owner.submit(1, wide(WIDE));
--- a/crates/stackpier-cell/tests/handover.rs
+++ b/crates/stackpier-cell/tests/handover.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What an earlier owner could not save, as its successor takes it in.
+//! Progress that an earlier owner could not save and hands over to its successor.
 
 mod common;
 
@@ -10,11 +10,11 @@
 use stackpier_state::job::{Checkpoint, Failures, Progress, State, Step};
 
 const JOB: u64 = 7;
-/// TASKS fit on the two workers at once.
+/// TASKS is how many tasks a step has: all of them fit on the two workers at once.
 const TASKS: u32 = 4;
 
-/// earlier runs a job whose first step ends while the store is away.
-fn earlier(steps: Vec<Step>) -> Owner {
+/// predecessor runs a job whose first step ends while the store does not answer.
+fn predecessor(steps: Vec<Step>) -> Owner {
     let mut owner = Owner::new(2);
     owner.submit(JOB, spec(steps));
     owner.advance(200);
@@ -23,7 +23,7 @@
     owner
 }
 
-/// successor owns the cell next, on workers that have started anew, with what the store has.
+/// successor starts the next owner, with restarted workers and the saved progress.
 fn successor(steps: Vec<Step>, saved: Option<Progress>) -> Owner {
     let mut owner = Owner::with_options(2, 2, false, Options::default());
     owner.cell.await_handover();
@@ -36,15 +36,15 @@
     owner
 }
 
-/// told is what an earlier owner tells of the job.
-fn told(progress: Progress) -> Vec<Unsaved> {
+/// unsaved_of returns the progress of the job as an earlier owner sends it.
+fn unsaved_of(progress: Progress) -> Vec<Unsaved> {
     vec![Unsaved {
         job: key::Job(JOB),
         progress,
     }]
 }
 
-/// Guards against tasks that start again although an earlier owner knew that they are done.
+/// Guards against tasks that start again although an earlier owner knows that they are done.
 #[rstest]
 fn tasks_that_an_earlier_owner_knows_as_done_do_not_start() {
     let steps = vec![
@@ -54,8 +54,8 @@
             ..step(TASKS)
         },
     ];
-    let earlier = earlier(steps.clone());
-    let unsaved = earlier.cell.unsaved();
+    let predecessor = predecessor(steps.clone());
+    let unsaved = predecessor.cell.unsaved();
     assert_eq!(unsaved.len(), 1, "{unsaved:?}");
     let mut later = successor(steps, None);
     assert_eq!(
@@ -80,8 +80,8 @@
     assert_eq!(later.starts.len(), TASKS as usize);
 }
 
-/// Guards against a job that stays open as its last ends come by way of an earlier owner, and
-/// against runs that go on for nothing.
+/// Guards against a job that does not end when its last ends come from an earlier owner, and
+/// against runs of it that go on.
 #[rstest]
 fn a_job_that_an_earlier_owner_knows_as_done_ends_and_its_runs_stop() {
     let long = Step {
@@ -93,7 +93,7 @@
     later.advance(300);
     let mut progress = Progress::default();
     (0..TASKS).for_each(|place| progress.set_done(place));
-    later.feed(Event::HandedOver(told(progress)));
+    later.feed(Event::HandedOver(unsaved_of(progress)));
     later.advance(1_500);
     assert_eq!(later.state(JOB), Some(State::Completed));
     let running: usize = later.workers.iter().map(|worker| worker.runs.len()).sum();
@@ -104,8 +104,8 @@
     );
 }
 
-/// Guards against a task that gets more attempts than its queue allows as the cell changes its
-/// owner, and against an attempt that counts twice.
+/// Guards against a task that gets more attempts than its queue allows when the owner changes, and
+/// against an attempt that counts twice.
 #[rstest]
 #[case::some_left(vec![1, 2], State::Running)]
 #[case::none_left(vec![1, 2, 3], State::Failed)]
@@ -116,19 +116,19 @@
         failures: vec![failures],
         ..Progress::default()
     };
-    let unsaved = told(progress);
+    let unsaved = unsaved_of(progress);
     later.feed(Event::PredecessorAnswered(unsaved.clone()));
     later.feed(Event::HandedOver(unsaved));
     later.advance(300);
     assert_eq!(later.state(JOB), Some(state));
 }
 
-/// Guards against work that is done again from the start, and against a run whose progress is
-/// set back by what an earlier owner had seen of the one before.
+/// Guards against work that is repeated from the start, and against a run that is set back to the
+/// checkpoint that an earlier owner received from the run before it.
 #[rstest]
 #[case::before_a_start(false, Some("saved"))]
 #[case::after_a_start(true, None)]
-fn a_checkpoint_is_taken_over_until_a_run_has_begun(
+fn a_checkpoint_is_applied_until_a_run_has_begun(
     #[case] begun: bool,
     #[case] resumes: Option<&str>,
 ) {
@@ -149,7 +149,7 @@
         checkpoints: vec![checkpoint],
         ..Progress::default()
     };
-    let unsaved = told(progress);
+    let unsaved = unsaved_of(progress);
     later.feed(Event::HandedOver(unsaved));
     later.feed(Event::PredecessorAnswered(Vec::new()));
     later.advance(100);
@@ -157,9 +157,9 @@
     assert_eq!(later.starts[0].0.checkpoint.as_deref(), resumes);
 }
 
-/// Guards against bad input: places and jobs that the successor does not know are left aside.
+/// Guards against bad input: tasks and jobs that the successor does not know are ignored.
 #[rstest]
-fn what_is_not_known_is_left_aside() {
+fn unknown_tasks_and_jobs_are_ignored() {
     let mut later = successor(vec![step(TASKS)], None);
     let mut progress = Progress::default();
     progress.set_done(TASKS + 70);
@@ -173,8 +173,8 @@
     assert_eq!(later.state(JOB + 1), None);
 }
 
-/// Guards against an owner that was replaced and does not know it: a worker that it never heard
-/// may have told an earlier owner of ends, and that one the newest.
+/// Guards against an owner that was replaced without knowing it: a worker that it never reached
+/// may have reported ends to an earlier owner, which handed them over to the newest owner.
 #[rstest]
 fn without_the_store_inherited_tasks_of_a_lost_worker_wait() {
     let mut owner = Owner::with(2, 2, true);
@@ -196,10 +196,10 @@
     assert_eq!(owner.starts.len(), TASKS as usize);
 }
 
-/// Guards against inherited tasks that start before their owner of late was heard, as one before
-/// it has told something.
+/// Guards against inherited tasks that start before the last owner has answered, because an older
+/// owner has sent its progress.
 #[rstest]
-fn what_another_owner_tells_does_not_end_the_wait() {
+fn the_progress_of_another_owner_does_not_end_the_wait() {
     let mut later = successor(vec![step(TASKS)], None);
     later.feed(Event::HandedOver(Vec::new()));
     later.advance(300);
--- a/crates/stackpier-cell/tests/restarts.rs
+++ b/crates/stackpier-cell/tests/restarts.rs
@@ -1,20 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same id.
 //!
-//! Seen: on two days of the users workers crashed in series and started again under their
-//! ids. Tasks that had ended as done there were started again, one of them 22 times, and the
-//! steps that waited for them had not begun at the end of the day. The owner logged runs that
-//! were gone without an end, on these workers and on no others.
+//! The failure: workers crashed repeatedly and restarted under their old ids. Tasks that had
+//! ended as done on them were started again, one of them 22 times, and the steps that waited for
+//! these tasks never began. The owner logged runs that were gone without an end, on 72 workers,
+//! all of which had restarted.
 //!
-//! How it came about: the owner kept what it knew of a worker by its id. The later life
-//! numbers its ends from one again, so they were below the number up to which ends were known,
-//! and were passed over; the worker was told to forget them.
+//! The cause: the owner kept what it knew of a worker by its id alone, so it did not tell
+//! incarnations apart. A new incarnation numbers its ends from one again. These numbers were
+//! below the highest one already known, so the owner ignored the ends and acknowledged them, and
+//! the worker forgot them.
 //!
-//! Cause: an id was taken for a life. What was known of one life counted for another.
-//!
-//! Proof: all of these tests but one failed while lives were not told apart, with the figures
-//! of the record: two starts of each task, a step that does not begin. The first plays of both
-//! records showed the lost ends on 72 workers, all of which had started again.
+//! All of these tests but one fail if incarnations are not told apart: each task starts twice,
+//! or a step does not begin.
 
 mod common;
 
@@ -25,52 +23,52 @@
 use stackpier_standin::fleet::{Behaviour, Worker};
 use stackpier_state::job::{Spec, State, Step};
 
-/// EARLIER is a job that the first life of a worker does.
+/// EARLIER is a job that runs on the first incarnation of a worker.
 const EARLIER: u64 = 1;
-/// LATER is a job that a later life does.
+/// LATER is a job that runs on a later incarnation.
 const LATER: u64 = 2;
-/// WIDTH is how many tasks a step has: a worker has room for all of them.
+/// WIDTH is how many tasks a step has: all of them fit on one worker.
 const WIDTH: u32 = 8;
-/// CLOCK_MS is what the clock of a later life begins with.
+/// CLOCK_MS is the clock of a later incarnation at its start.
 const CLOCK_MS: u64 = 20;
-/// HEARTBEAT_MS is the time until its entry shows.
+/// HEARTBEAT_MS is the time until its entry is listed.
 const HEARTBEAT_MS: u64 = 1_500;
-/// IDLE_MS is longer than an idle worker is left alone.
+/// IDLE_MS is longer than the time between two polls of an idle worker.
 const IDLE_MS: u64 = 5_100;
-/// DAY_MS is the wall clock at the start of a worker's first life.
-const DAY_MS: u64 = 1_700_000_000_000;
+/// START_MS is the wall clock at the start of a worker's first incarnation.
+const START_MS: u64 = 1_700_000_000_000;
 
-/// life describes one of the lives of a worker.
-fn life(place: usize, number: u64) -> Info {
+/// incarnation describes one of the incarnations of a worker.
+fn incarnation(place: usize, number: u64) -> Info {
     Info {
-        started_at: Some(Unix(DAY_MS + number)),
+        started_at: Some(Unix(START_MS + number)),
         ..info(place)
     }
 }
 
-/// owner starts the owner of some workers in their first lives.
+/// owner starts the owner of some workers in their first incarnation.
 fn owner(workers: usize) -> Owner {
     let mut owner = Owner::with(workers, 1, false);
     for place in 0..workers {
-        owner.workers[place].info = life(place, 0);
-        owner.feed(Event::Listed(life(place, 0)));
+        owner.workers[place].info = incarnation(place, 0);
+        owner.feed(Event::Listed(incarnation(place, 0)));
     }
     owner.advance(100);
     owner
 }
 
-/// restart has a later life of a worker answer. Its entry is still that of before.
+/// restart replaces a worker by a later incarnation. The list still has the old entry.
 fn restart(owner: &mut Owner, place: usize, number: u64) {
-    owner.workers[place] = Worker::new(life(place, number), CLOCK_MS, owner.now_ms);
+    owner.workers[place] = Worker::new(incarnation(place, number), CLOCK_MS, owner.now_ms);
 }
 
-/// show has the entry of a life show in the list.
-fn show(owner: &mut Owner, place: usize, number: u64) {
-    owner.feed(Event::Listed(life(place, number)));
+/// list adds the entry of an incarnation to the list.
+fn list(owner: &mut Owner, place: usize, number: u64) {
+    owner.feed(Event::Listed(incarnation(place, number)));
 }
 
-/// work has the first lives do a job.
-fn work(owner: &mut Owner) {
+/// complete_earlier_job runs a job on the first incarnations.
+fn complete_earlier_job(owner: &mut Owner) {
     owner.submit(EARLIER, spec(vec![step(WIDTH)]));
     owner.advance(2_000);
     assert_eq!(owner.state(EARLIER), Some(State::Completed));
@@ -82,62 +80,62 @@
     tasks.map(|task| owner.starts_of(task)).collect()
 }
 
-/// News is in which order an owner learns of a later life.
+/// News is the way in which an owner first learns of a later incarnation.
 #[derive(Clone, Copy, Debug)]
 enum News {
-    /// Its entry shows before anything else.
+    /// Its entry is listed first.
     Entry,
-    /// A start is sent first, and its entry shows after that.
+    /// A start is sent to it before its entry is listed.
     Start,
-    /// It answers first, as its clock is read, and its entry shows after that.
+    /// It answers a poll for its clock before its entry is listed.
     Report,
 }
 
-/// hand_in has a worker start again and hands a job in that it is to do.
-fn hand_in(owner: &mut Owner, news: News, job: Spec) {
+/// submit_after_restart restarts a worker and submits a job for it.
+fn submit_after_restart(owner: &mut Owner, news: News, job: Spec) {
     restart(owner, 0, 1);
     match news {
         News::Entry => {
-            show(owner, 0, 1);
+            list(owner, 0, 1);
             owner.submit(LATER, job);
         }
         News::Start => {
             owner.submit(LATER, job);
             owner.advance(HEARTBEAT_MS);
-            show(owner, 0, 1);
+            list(owner, 0, 1);
         }
         News::Report => {
             owner.advance(IDLE_MS);
             owner.submit(LATER, job);
             owner.advance(HEARTBEAT_MS);
-            show(owner, 0, 1);
+            list(owner, 0, 1);
         }
     }
 }
 
 #[rstest]
-fn a_task_that_ends_in_a_later_life_is_done(
+fn a_task_that_ends_in_a_later_incarnation_is_done(
     #[values(News::Entry, News::Start, News::Report)] news: News,
 ) {
     let mut owner = owner(1);
-    work(&mut owner);
-    hand_in(&mut owner, news, spec(vec![step(WIDTH)]));
+    complete_earlier_job(&mut owner);
+    submit_after_restart(&mut owner, news, spec(vec![step(WIDTH)]));
     owner.advance(2_000);
     assert_eq!(starts(&owner, LATER), [1; WIDTH as usize]);
     assert_eq!(owner.state(LATER), Some(State::Completed));
 }
 
 #[rstest]
-fn a_step_begins_once_what_it_waits_for_ended_in_a_later_life(
+fn a_step_begins_once_the_step_before_it_ended_in_a_later_incarnation(
     #[values(News::Entry, News::Start, News::Report)] news: News,
 ) {
     let mut owner = owner(1);
-    work(&mut owner);
+    complete_earlier_job(&mut owner);
     let second = Step {
         after: vec![0],
         ..step(1)
     };
-    hand_in(&mut owner, news, spec(vec![step(1), second]));
+    submit_after_restart(&mut owner, news, spec(vec![step(1), second]));
     // Both steps take a second each.
     owner.advance(3_000);
     assert_eq!(owner.starts_of(name(LATER, 1, 0)), 1);
@@ -145,19 +143,21 @@
 }
 
 #[rstest]
-fn what_a_restart_interrupts_starts_once_more(#[values(News::Entry, News::Report)] news: News) {
+fn tasks_that_a_restart_interrupts_start_once_more(
+    #[values(News::Entry, News::Report)] news: News,
+) {
     let mut owner = owner(2);
-    work(&mut owner);
+    complete_earlier_job(&mut owner);
     owner.submit(LATER, spec(vec![step(WIDTH)]));
     owner.advance(500);
     let on_first = owner.workers[0].runs.len();
     assert!(on_first > 0);
     restart(&mut owner, 0, 1);
     if matches!(news, News::Entry) {
-        show(&mut owner, 0, 1);
+        list(&mut owner, 0, 1);
     }
-    // The next report shows the later life, or its entry does before that. What may have
-    // crashed the worker starts one task after the other, a second apart.
+    // The next report shows the later incarnation, or its entry does before that. Tasks that may
+    // have crashed the worker start one after the other, a second apart.
     owner.advance(12_000);
     let again = starts(&owner, LATER)
         .iter()
@@ -167,14 +167,14 @@
     assert_eq!(owner.state(LATER), Some(State::Completed));
 }
 
-/// The clock of the later life began anew: by that of the earlier one, leases would last for
-/// as long as that had lived.
+/// The clock of a later incarnation starts again. Measured by the clock of the earlier one, its
+/// leases would last as long as the earlier one had run.
 #[test]
-fn what_runs_in_a_later_life_that_falls_silent_starts_elsewhere_once_its_lease_is_over() {
+fn tasks_of_a_later_incarnation_that_is_silent_start_elsewhere_once_its_lease_expires() {
     let mut owner = owner(2);
     owner.advance(60_000);
     restart(&mut owner, 0, 1);
-    show(&mut owner, 0, 1);
+    list(&mut owner, 0, 1);
     owner.cut[1] = true;
     owner.advance(IDLE_MS);
     owner.submit(
@@ -192,75 +192,76 @@
     assert_eq!(owner.starts_of(name(LATER, 0, 0)), 2);
 }
 
-/// An entry that was read late must not end the life that has answered since.
+/// An old entry that is read late must not end the incarnation that has answered since.
 #[test]
-fn an_entry_of_an_earlier_life_changes_nothing() {
+fn an_entry_of_an_earlier_incarnation_changes_nothing() {
     let mut owner = owner(1);
     restart(&mut owner, 0, 1);
-    show(&mut owner, 0, 1);
+    list(&mut owner, 0, 1);
     owner.advance(100);
     owner.submit(LATER, spec(vec![step(WIDTH)]));
     owner.advance(500);
-    show(&mut owner, 0, 0);
+    list(&mut owner, 0, 0);
     owner.advance(2_000);
     assert_eq!(starts(&owner, LATER), [1; WIDTH as usize]);
     assert_eq!(owner.state(LATER), Some(State::Completed));
 }
 
-/// A wall clock may jump back: what counts is that the start is another one.
+/// The wall clock may jump back: any other start time means another incarnation.
 #[test]
-fn a_later_life_may_have_a_smaller_start() {
+fn a_later_incarnation_may_have_an_earlier_start_time() {
     let mut owner = Owner::with(1, 1, false);
-    owner.workers[0].info = life(0, 5);
-    owner.feed(Event::Listed(life(0, 5)));
+    owner.workers[0].info = incarnation(0, 5);
+    owner.feed(Event::Listed(incarnation(0, 5)));
     owner.advance(100);
-    work(&mut owner);
-    hand_in(&mut owner, News::Start, spec(vec![step(WIDTH)]));
+    complete_earlier_job(&mut owner);
+    submit_after_restart(&mut owner, News::Start, spec(vec![step(WIDTH)]));
     owner.advance(2_000);
     assert_eq!(starts(&owner, LATER), [1; WIDTH as usize]);
 }
 
-/// Users' tasks ask for a label: the later life may be of another kind, as its entry says.
+/// Tasks may require a label, and only the entry of the later incarnation tells its labels.
 #[test]
-fn a_later_life_gets_no_starts_before_its_own_entry_is_known() {
+fn a_later_incarnation_gets_no_starts_before_its_own_entry_is_known() {
     let mut owner = owner(1);
     restart(&mut owner, 0, 1);
     owner.advance(IDLE_MS);
     owner.submit(LATER, spec(vec![step(WIDTH)]));
     owner.advance(1_000);
     assert_eq!(starts(&owner, LATER), [0; WIDTH as usize]);
-    show(&mut owner, 0, 1);
+    list(&mut owner, 0, 1);
     owner.advance(2_000);
     assert_eq!(starts(&owner, LATER), [1; WIDTH as usize]);
 }
 
-/// Seen with real daemons: an idle worker started again within 30 ms, so that nobody missed
-/// it. The next hold was meant for the earlier life, waited in the later one, and had it
-/// forget ends of its own up to the number of the earlier one.
+/// Guards against ends that are lost when an idle worker restarts unnoticed, found with real
+/// daemons: it restarted within 30 ms. The next lease renewal was meant for the earlier
+/// incarnation, waited at the later one, and made it forget its own ends up to the number that
+/// was acknowledged to the earlier one.
 #[test]
-fn a_hold_that_was_meant_for_the_earlier_life_makes_the_later_one_forget_nothing() {
+fn a_renewal_for_the_earlier_incarnation_makes_the_later_one_forget_nothing() {
     let mut owner = owner(1);
     owner.renewals_wait = true;
-    work(&mut owner);
+    complete_earlier_job(&mut owner);
     owner.advance(IDLE_MS);
     restart(&mut owner, 0, 1);
-    // They end while the hold waits.
+    // The tasks end while the renewal waits.
     let short = Step {
         estimate_ms: 300,
         ..step(WIDTH)
     };
     owner.submit(LATER, spec(vec![short]));
     owner.advance(HEARTBEAT_MS);
-    show(&mut owner, 0, 1);
+    list(&mut owner, 0, 1);
     owner.advance(2_000);
     assert_eq!(starts(&owner, LATER), [1; WIDTH as usize]);
     assert_eq!(owner.state(LATER), Some(State::Completed));
 }
 
-/// Users let a task that crashes its workers start five times. Such a worker answers again
-/// under its id soon after.
+/// A task that crashes its workers may start five times at most, also if each worker soon answers
+/// again under its old id.
 #[test]
-fn a_task_that_crashes_workers_which_start_again_is_given_up() {
+fn a_task_that_crashes_workers_which_restart_is_given_up() {
     for workers in [1, 4] {
         for restart_ms in [30, 300, 1_500] {
             let mut owner = owner(workers);
@@ -275,10 +276,10 @@
     }
 }
 
-/// Its owner has not lived to see what came of the last start: the worker that took it is back
-/// under its id.
+/// The first owner ends before it learns the outcome of the last start. The worker that accepted
+/// the start is back under its old id.
 #[test]
-fn a_successor_counts_crashes_of_workers_that_started_again() {
+fn a_successor_counts_crashes_of_workers_that_restarted() {
     let mut owner = owner(4);
     owner.restart_ms = Some(300);
     owner.crashing.insert(name(LATER, 0, 0));
@@ -306,8 +307,8 @@
     );
 }
 
-/// A host that comes back with its worker under the id that it had counted as down until the
-/// plan gave it up.
+/// Guards against a host that counts as down until the plan gives it up, because its worker comes
+/// back under its old id.
 #[test]
 fn a_host_whose_worker_keeps_its_id_is_back_from_maintenance() {
     let mut owner = owner(2);
@@ -327,10 +328,10 @@
     assert!(last[0].completed, "{last:?}");
 }
 
-/// A later owner may have heard the earlier life, and noted its end. That the later life does
-/// not show the run tells nothing of that.
+/// A later owner may have reached the earlier incarnation and acknowledged the end of its run.
+/// That the later incarnation does not show the run does not rule this out.
 #[test]
-fn without_the_store_a_start_that_only_the_earlier_life_can_have_taken_is_not_made_again() {
+fn without_the_store_a_start_that_the_earlier_incarnation_may_have_accepted_is_not_repeated() {
     let mut owner = owner(2);
     owner.renewals_wait = true;
     owner.submit(LATER, spec(vec![step(1)]));
@@ -339,7 +340,7 @@
     owner.store = false;
     owner.advance(20);
     restart(&mut owner, place, 1);
-    show(&mut owner, place, 1);
+    list(&mut owner, place, 1);
     owner.advance(3_000);
     assert_eq!(owner.starts_of(name(LATER, 0, 0)), 1);
     owner.store = true;
@@ -347,9 +348,9 @@
     assert_eq!(owner.starts_of(name(LATER, 0, 0)), 2);
 }
 
-/// A ticket holds for one life of a worker.
+/// A ticket is valid for one incarnation of a worker.
 #[test]
-fn a_later_life_gets_no_ticket_of_the_earlier_one() {
+fn a_later_incarnation_gets_no_ticket_of_the_earlier_one() {
     let mut owner = owner(1);
     let mut queue = common::queue("advised", 0);
     queue.advised = true;
@@ -358,7 +359,7 @@
     assert_eq!(owner.asked, [1]);
     // The answer comes after 5 ms.
     restart(&mut owner, 0, 1);
-    show(&mut owner, 0, 1);
+    list(&mut owner, 0, 1);
     owner.advance(3_000);
     let ticket = owner.ticket("w0");
     assert!(!owner.starts.is_empty());
@@ -367,10 +368,10 @@
     }
 }
 
-/// A start that got no answer may be carried out seconds later. Its worker was told to stop it,
-/// but the later life knows nothing of that.
+/// A start without an answer may arrive seconds later. The worker was ordered to stop the run,
+/// but its later incarnation does not know of that order.
 #[test]
-fn a_start_that_comes_late_is_refused_by_a_later_life_too() {
+fn a_late_start_is_refused_by_a_later_incarnation_too() {
     let mut owner = owner(1);
     owner.lose_starts = 1;
     owner.submit(LATER, spec(vec![step(1)]));
@@ -380,7 +381,7 @@
     owner.advance(4_000);
     assert_eq!(owner.state(LATER), Some(State::Completed));
     restart(&mut owner, 0, 1);
-    show(&mut owner, 0, 1);
+    list(&mut owner, 0, 1);
     owner.advance(100);
     let now_ms = owner.now_ms;
     let taken = owner.workers[0].start(now_ms, &late, Behaviour::default());
--- a/crates/stackpier-cell/tests/roster.rs
+++ b/crates/stackpier-cell/tests/roster.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The roster: the workers that may run something, for which a later owner waits.
+//! The roster: the workers that may run something for the cell. A later owner waits for them.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use stackpier_cell::{Event, Info};
 use stackpier_state::job::Step;
 
-/// A worker that was given up and comes back gets no start until the store's roster
-/// has it again: a later owner would not wait for it.
+/// A worker that was given up and comes back gets no start until it is in the saved roster again:
+/// a later owner would not wait for it.
 #[test]
 fn a_worker_that_comes_back_is_in_the_roster_before_it_gets_starts() {
     let mut owner = Owner::new(1);
@@ -33,11 +33,11 @@
     assert!(owner.places(2, 0).is_empty());
 }
 
-/// Seen on a day with three changes of the owner: tasks that last did not run for 29
-/// seconds, as each later owner waited for three workers that had left long before, at
-/// most for the leases of the one before it. The first owner had kept them in the
-/// roster until their leases were over, and lost the cell before that; the log of each
-/// said that runs of an earlier owner were possible.
+/// Guards against owners that wait for workers which left long ago. In a run with three changes of
+/// the owner, long-running tasks did not run for 29 seconds: the first owner kept three workers
+/// that had left in the roster until their leases expired, and lost the cell before that. Each
+/// later owner waited for them until all leases of its predecessor had expired, and logged that
+/// runs of an earlier owner were possible.
 #[test]
 fn a_worker_that_leaves_with_nothing_on_it_is_not_in_the_roster() {
     let mut owner = Owner::new(2);
@@ -72,10 +72,10 @@
     assert_eq!(ids, ["w0"]);
 }
 
-/// A worker that was struck off the roster and stays after all gets no start before it
-/// is in the roster again.
+/// A worker that was deregistered but does not leave gets no start before it is in the roster
+/// again.
 #[test]
-fn a_worker_that_stays_after_all_is_in_the_roster_before_it_gets_starts() {
+fn a_worker_that_does_not_leave_is_in_the_roster_before_it_gets_starts() {
     let mut owner = Owner::new(1);
     owner.feed(Event::Unlisted("w0".to_owned()));
     owner.advance(4_000);
@@ -92,11 +92,11 @@
     assert_eq!(owner.places(2, 0), [0]);
 }
 
-/// Seen: tasks of a leaving worker had ended, and 0.7 s later the next owner started them
-/// again, while the worker still listed their ends. The owner had been stopped in a save of
-/// several transactions. Cause: the roster without the worker and the progress with its
-/// last ends are in one save, and only the first part of it was done. Proof: this test, and
-/// `platform/tests/leaving.rs` with real daemons.
+/// Guards against tasks that start again although they ended on a worker that leaves. The roster
+/// without the worker and the progress with its last ends were in one save of several
+/// transactions, and the owner was stopped after the first of them. 0.7 s after the tasks had
+/// ended, the next owner started them again, while the worker still listed their ends.
+/// `platform/tests/leaving.rs` tests the same with real daemons.
 #[test]
 fn a_worker_that_leaves_stays_in_the_roster_until_its_ends_are_saved() {
     let mut owner = Owner::new(2);
@@ -112,7 +112,10 @@
     let before = owner.saves.len();
     owner.advance(2_500);
     assert!(owner.workers[1].runs.is_empty(), "nothing is left there");
-    assert!(!owner.workers[1].ends.is_empty(), "its ends are not noted");
+    assert!(
+        !owner.workers[1].ends.is_empty(),
+        "its ends are not acknowledged"
+    );
     let rosters = owner.saves[before..].iter();
     for roster in rosters.filter_map(|save| save.roster.as_ref()) {
         assert!(roster.iter().any(|entry| entry.id == "w1"), "{roster:?}");
@@ -125,10 +128,10 @@
     assert_eq!(ids, Some(vec!["w0"]));
 }
 
-/// A worker that was taken for dead while its ends were being saved shows again: it may
-/// forget them, or it would stay in the roster for good and be asked five times a second.
+/// A worker that counted as dead while its ends were being saved is listed again. Its ends must be
+/// acknowledged: otherwise it stays in the roster forever and is polled five times a second.
 #[test]
-fn a_worker_that_shows_again_forgets_the_ends_that_were_saved_meanwhile() {
+fn a_worker_that_is_listed_again_forgets_the_ends_that_were_saved_meanwhile() {
     let mut owner = Owner::new(1);
     owner.submit(1, spec(vec![step(2)]));
     owner.advance(500);
--- a/crates/stackpier-cell/tests/trim.rs
+++ b/crates/stackpier-cell/tests/trim.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the store keeps of jobs that are over. A new owner reads two kilobytes for each job
-//! that it keeps whole; 195 of them, 150 over, took it 2.4 s on a link of 2 Mbit/s.
+//! Trimming the stored records of jobs that have ended. A new owner reads two kilobytes for each
+//! job that is stored whole: with 195 such jobs, of which 150 had ended, this took 2.4 s on a
+//! link of 2 Mbit/s.
 
 mod common;
 
@@ -12,14 +13,14 @@
 
 const JOB: u64 = 1;
 
-/// trimmed returns the saves, by their places, that trim the job.
+/// trimmed returns the indices of the saves that trim the job.
 fn trimmed(owner: &Owner) -> Vec<usize> {
     let saves = owner.saves.iter().enumerate();
     let trims = saves.filter(|(_, save)| save.trimmed.contains(&key::Job(JOB)));
     trims.map(|(place, _)| place).collect()
 }
 
-/// ended returns the place of the first save that shows the job as over.
+/// ended returns the index of the first save in which the job has ended.
 fn ended(owner: &Owner) -> Option<usize> {
     let over = |(id, progress): &(key::Job, Progress)| id.0 == JOB && progress.state.is_final();
     owner
@@ -42,7 +43,7 @@
     let mut owner = Owner::new(2);
     owner.submit(JOB, spec(vec![step(4)]));
     owner.advance(15_000);
-    // Another job brings another save.
+    // Another job causes another save.
     owner.submit(2, spec(vec![step(1)]));
     owner.advance(3_000);
     let ended = ended(&owner).expect("the job ends");
@@ -65,11 +66,11 @@
     assert!(trimmed(&owner).is_empty());
 }
 
-/// Found on a hunted day: a job was cancelled while the data centre in which an earlier
-/// owner had started it was cut off. A successor that found it trimmed could not stop what
-/// still ran of it.
+/// Guards against runs that no owner can stop any more: a job was cancelled while the data centre
+/// in which an earlier owner had started it was cut off. A successor that found the job trimmed
+/// could not stop the runs that were left.
 #[rstest]
-fn a_job_is_not_trimmed_while_runs_of_an_earlier_owner_may_be_there() {
+fn a_job_is_not_trimmed_while_runs_of_an_earlier_owner_may_exist() {
     let mut owner = Owner::with(1, 2, true);
     owner.cut = vec![true];
     owner.submit(JOB, spec(vec![step(4)]));
@@ -95,7 +96,7 @@
     assert_eq!(owner.cell.waiting(QUEUE), 0);
 }
 
-/// A daemon that finds the record of a job that is handed in again tells the owner of it.
+/// A daemon that finds the record of a job that is submitted again sends it to the owner.
 #[rstest]
 fn a_trimmed_job_that_is_not_known_is_no_new_job() {
     let mut owner = Owner::new(1);
