--- a/crates/stackpier-cell/tests/faults.rs
+++ b/crates/stackpier-cell/tests/faults.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What must hold when calls are lost, workers fail, and owners change. Each
-//! test of a fault that was found names where.
+//! Behaviour when calls are lost, workers fail, and owners change. A test that guards against a
+//! fault which a simulation found names the scenario or seed.
 
 mod common;
 
@@ -33,17 +33,18 @@
     })
 }
 
-/// holds returns the workers of the holds among some effects.
-fn holds(effects: &[Effect]) -> Vec<stackpier_cell::WorkerKey> {
-    let hold = |effect: &Effect| match effect {
-        Effect::Renew(hold) => Some(hold.worker),
+/// renewed_workers returns the workers of the lease renewals among some effects.
+fn renewed_workers(effects: &[Effect]) -> Vec<stackpier_cell::WorkerKey> {
+    let worker = |effect: &Effect| match effect {
+        Effect::Renew(renewal) => Some(renewal.worker),
         _ => None,
     };
-    effects.iter().filter_map(hold).collect()
+    effects.iter().filter_map(worker).collect()
 }
 
-/// Found by a hunt on tg-fleetops (scale-2, seed 263665334842): after a
-/// take-over two workers listed failed runs 3 and 2 in this order.
+/// Guards against failed runs that are not counted because a later run is listed first. Found by a
+/// search for failing scenarios (scale-2, seed 263665334842): after a takeover, one worker listed
+/// the failed run 3 before another one listed run 2.
 #[rstest]
 #[case([1, 2, 3])]
 #[case([3, 1, 2])]
@@ -54,7 +55,7 @@
     let now = owner.now();
     for (place, run) in order.into_iter().enumerate() {
         let effects = owner.cell.step(now, Event::Listed(info(place)));
-        let worker = holds(&effects)[0];
+        let worker = renewed_workers(&effects)[0];
         let outcome = report(Vec::new(), vec![end(1, run, EndCause::Failed)]);
         let sent = Millis(1);
         owner.cell.step(
@@ -89,7 +90,7 @@
     owner.submit_to(1, QUEUE, spec(vec![step(1)]), 1, Some(progress));
     let now = owner.now();
     let effects = owner.cell.step(now, Event::Listed(info(0)));
-    let worker = holds(&effects)[0];
+    let worker = renewed_workers(&effects)[0];
     let outcome = report(Vec::new(), vec![end(1, 2, EndCause::Failed)]);
     let sent = Millis(1);
     owner.cell.step(
@@ -103,8 +104,9 @@
     assert_eq!(owner.state(1), Some(State::Pending), "two of three failed");
 }
 
-/// Found by the first score of ksf-ho (trouble-1, TWICE): a report asked for
-/// in the same millisecond as a start's confirmation did not show the run.
+/// Guards against a run that counts as gone, so that its task runs twice. Found in scenario
+/// trouble-1: a report that was requested in the same millisecond in which the start was confirmed
+/// did not show the run.
 #[test]
 fn a_report_of_the_same_millisecond_does_not_end_a_run() {
     let mut owner = Owner::new(1);
@@ -124,7 +126,7 @@
     let sent = Millis(owner.now_ms - 9);
     let outcome = report(Vec::new(), Vec::new());
     let effects = owner.cell.step(now, Event::Listed(info(1)));
-    let other = holds(&effects)[0];
+    let other = renewed_workers(&effects)[0];
     assert_ne!(confirmed.address, "address-1");
     owner.cell.step(
         now,
@@ -137,7 +139,7 @@
     assert_eq!(
         owner.cell.running(),
         1,
-        "another worker's report says nothing of it"
+        "another worker's report does not concern it"
     );
 }
 
@@ -174,9 +176,10 @@
     );
 }
 
-/// A worker that dies lists no end, so what it reported last is gone on from.
+/// A worker that dies lists no end, so the task continues from the last checkpoint that it
+/// reported.
 #[test]
-fn a_task_of_a_lost_worker_goes_on_from_what_it_had_saved() {
+fn a_task_of_a_lost_worker_continues_from_its_checkpoint() {
     let mut owner = Owner::new(2);
     let long = Step {
         checkpointing: true,
@@ -195,7 +198,7 @@
 }
 
 #[test]
-fn tasks_of_a_life_that_is_over_start_elsewhere_at_once() {
+fn tasks_of_an_incarnation_that_ended_start_elsewhere_at_once() {
     let mut owner = Owner::new(2);
     let long_running = Step {
         long_running: true,
@@ -209,7 +212,10 @@
     owner.workers[place] = Worker::new(next, 9_000, owner.now_ms);
     owner.advance(200);
     assert_eq!(owner.starts.len(), 2);
-    assert_ne!(owner.starts[1].1, place, "the new life is not listed yet");
+    assert_ne!(
+        owner.starts[1].1, place,
+        "the new incarnation is not listed yet"
+    );
 }
 
 #[test]
@@ -224,7 +230,7 @@
 }
 
 #[test]
-fn ends_are_noted_only_after_they_are_saved() {
+fn ends_are_acknowledged_only_after_they_are_saved() {
     let mut owner = Owner::new(1);
     owner.store = false;
     owner.submit(1, spec(vec![step(1)]));
@@ -240,7 +246,7 @@
 }
 
 #[test]
-fn an_owner_without_the_store_gives_no_orders_after_its_time() {
+fn an_owner_without_the_store_gives_no_orders_after_its_authority_expires() {
     let mut owner = Owner::new(1);
     owner.store = false;
     owner.advance(6_000);
@@ -259,8 +265,8 @@
     let now = later.now();
     let effects = later.cell.step(now, Event::Listed(info(0)));
     for effect in effects {
-        if let Effect::Renew(hold) = effect {
-            owner.workers[0].hold(owner.now_ms, &hold);
+        if let Effect::Renew(renewal) = effect {
+            owner.workers[0].hold(owner.now_ms, &renewal);
         }
     }
     owner.submit(1, spec(vec![step(1)]));
@@ -332,7 +338,7 @@
 }
 
 #[test]
-fn a_task_that_stands_still_is_moved() {
+fn a_task_that_makes_no_progress_is_moved() {
     let mut owner = Owner::new(2);
     owner.workers[0].hangs = true;
     owner.workers[1].hangs = true;
@@ -348,10 +354,11 @@
     );
 }
 
-/// Found by the fuzz (poison with take-overs, seed 257): a task with one
-/// failure left waited for a worker that had done work, and none had.
+/// Guards against a task that never starts. Found by the fuzz test (poison tasks with takeovers,
+/// seed 257): a task with one attempt left waited for a worker with a recent success, and there
+/// was none.
 #[test]
-fn a_task_with_one_failure_left_does_not_wait_for_ever() {
+fn a_task_with_one_attempt_left_does_not_wait_forever() {
     let mut owner = Owner::with(1, 2, false);
     let progress = Progress {
         failures: vec![Failures {
@@ -367,7 +374,7 @@
 }
 
 #[test]
-fn a_job_nobody_can_place_stays_pending() {
+fn a_job_that_fits_no_worker_stays_pending() {
     let mut owner = Owner::new(1);
     let mut huge = step(1);
     huge.size.milli_cores = 64_000;
@@ -378,14 +385,14 @@
     assert_eq!(
         owner.state(2),
         Some(State::Completed),
-        "it holds up no other"
+        "it delays no other job"
     );
     let explained = owner.cell.explain(key::Job(1));
     assert!(explained.is_some_and(|job| job.tasks.len() == 1));
 }
 
-/// Found by a day of our own (tg-fleetops, one-late-grants, UNASKED): the stop
-/// of a cancelled job's task was late, and the task got copies.
+/// Guards against copies of cancelled tasks. Found in scenario one-late-grants: the stop of a
+/// cancelled job's task took long, and copies of the task were started.
 #[test]
 fn a_cancelled_task_that_is_slow_to_stop_gets_no_copy() {
     let mut owner = Owner::new(2);
@@ -402,8 +409,8 @@
     assert_eq!(owner.starts.len(), 1);
 }
 
-/// Found on tg-fleetops-grown (trouble-2): workers that had left stood in the
-/// roster, and each later owner waited for their leases.
+/// Guards against owners that wait for workers which are gone. Found in scenario trouble-2: workers
+/// that had left stayed in the roster, and each later owner waited until their leases expired.
 #[test]
 fn a_worker_that_left_is_not_waited_for_by_a_later_owner() {
     let mut owner = Owner::new(2);
@@ -416,9 +423,9 @@
     assert_eq!(ids, ["w0"]);
 }
 
-/// A step that only waits out a failure says nothing of room for others alike.
+/// A step that only waits after a failure does not show that similar steps do not fit.
 #[test]
-fn a_filling_task_that_waits_bars_no_other_of_its_image() {
+fn a_best_effort_task_that_waits_does_not_block_others_of_its_image() {
     let mut owner = Owner::new(2);
     let best_effort = |count| Step {
         best_effort: true,
@@ -441,8 +448,8 @@
     assert!(waited_ms <= 400, "waited {waited_ms} ms");
 }
 
-/// Its VM was suspended: no time passed for its processes, and seconds did for all others.
-/// Another daemon may own the cell by now.
+/// The owner's VM was suspended: no time passed for its processes, but seconds passed for all
+/// others. Another daemon may own the cell by now.
 #[test]
 fn an_owner_that_was_suspended_starts_nothing_before_the_store_confirms_it() {
     let mut owner = Owner::new(2);
--- a/crates/stackpier-cell/tests/handover.rs
+++ b/crates/stackpier-cell/tests/handover.rs
@@ -54,8 +54,8 @@
             ..step(TASKS)
         },
     ];
-    let predecessor = predecessor(steps.clone());
-    let unsaved = predecessor.cell.unsaved();
+    let earlier = predecessor(steps.clone());
+    let unsaved = earlier.cell.unsaved();
     assert_eq!(unsaved.len(), 1, "{unsaved:?}");
     let mut later = successor(steps, None);
     assert_eq!(
--- a/crates/stackpier-cell/tests/listing.rs
+++ b/crates/stackpier-cell/tests/listing.rs
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What an owner makes of the two lists of a worker's report.
+//! How an owner reads the two lists of a worker's report: runs and ends.
 //!
-//! Seen: on one run of each of two deployments some 450 tasks, a tenth of all, were started
-//! again after they had ended as done. Both ends were noted. One owner made both starts.
+//! The failure: in one run of each of two deployments some 450 tasks, a tenth of all, were started
+//! again after they had ended as done. Both ends were acknowledged, and the same owner made both
+//! starts.
 //!
-//! How it may have come about: the owner took an end as known if its number was not above the highest
-//! one that it had seen of the worker. A list that was not in the order of its numbers lost
-//! ends in this way: they were passed over, and the worker was told to forget them. The next
-//! report showed their runs neither as running nor as ended, so their tasks were started again.
+//! How it may have come about: the owner took an end as known if its number was not above the
+//! highest number that it had received from the worker. If a list was not ordered by number, ends
+//! were lost: the owner ignored them, and acknowledged them to the worker. The next report showed
+//! their runs neither as running nor as ended, so their tasks were started again.
 //!
-//! Cause: the place of an end in a list was taken for knowledge of all ends before it. The
-//! platform promises rising numbers and no order of the list.
+//! The cause: an end was taken as proof that all ends with lower numbers were known. The platform
+//! promises rising numbers, but no order of the list.
 //!
-//! Proof: with workers that list the newest end first, or in a drawn order, the model of a
-//! calm day has as many such tasks as the record, and most second runs end as done; with ends
-//! that show late, or lists that are cut, second runs are stopped. With real daemons: see
-//! `platform/tests/listing.rs`. That the users' workers listed like this is not proved; the
-//! incident's page has what speaks against it.
+//! In a simulation with workers that list the newest end first, or in a random order, as many
+//! tasks start again as in the deployments, and most second runs end as done. With ends that show
+//! late, or lists that are cut, second runs are stopped. `platform/tests/listing.rs` tests the same
+//! with real daemons. It is not proved that the workers of the deployments listed ends in this way.
 
 mod common;
 
@@ -31,14 +31,14 @@
 };
 use stackpier_state::job::State;
 
-/// TASKS is how many tasks run on one worker, and end at the same moment.
+/// TASKS is how many tasks run on one worker and end at the same time.
 const TASKS: u32 = 6;
-/// WORK_MS is longer than they work, twice.
+/// WORK_MS is more than twice as long as they run.
 const WORK_MS: u64 = 4_000;
 
-/// play has one worker, that lists in some way, run tasks that end together, and returns how
-/// often each was started and the state of their job.
-fn play(listing: Listing) -> (Vec<usize>, Option<State>) {
+/// run_tasks runs tasks that end together on a worker that lists ends in the given way. It
+/// returns how often each task was started, and the state of the job.
+fn run_tasks(listing: Listing) -> (Vec<usize>, Option<State>) {
     let mut owner = Owner::new(1);
     owner.workers[0].listing = listing;
     owner.submit(1, spec(vec![step(TASKS)]));
@@ -47,8 +47,8 @@
     (starts.collect(), owner.state(1))
 }
 
-/// once is what is wanted: each task starts once, and the job is completed.
-fn once() -> (Vec<usize>, Option<State>) {
+/// completed_once is the expected result: each task starts once, and the job is completed.
+fn completed_once() -> (Vec<usize>, Option<State>) {
     (vec![1; TASKS as usize], Some(State::Completed))
 }
 
@@ -60,18 +60,18 @@
         Order::Drawn(1),
         Order::Drawn(2),
     ];
-    let played = orders.map(|order| play(Listing::in_order(order)));
-    assert_eq!(played, orders.map(|_| once()));
+    let results = orders.map(|order| run_tasks(Listing::in_order(order)));
+    assert_eq!(results, orders.map(|_| completed_once()));
 }
 
-/// The two lists of a report need not be of one moment: an end may show in the next one.
+/// The two lists of a report may be taken at different times: an end may show in the next report.
 #[test]
 fn an_end_that_shows_one_report_late_is_waited_for() {
-    assert_eq!(play(Listing::late()), once());
+    assert_eq!(run_tasks(Listing::late()), completed_once());
 }
 
-/// The platform lists 500 ends at a time. The others are listed once those are noted, which
-/// takes a store that answers.
+/// The platform lists 500 ends at a time. It lists the others once these are acknowledged, for
+/// which the store must have answered.
 #[test]
 fn ends_beyond_a_list_that_is_cut_are_waited_for() {
     let mut owner = Owner::new(1);
@@ -83,12 +83,12 @@
     owner.store = true;
     owner.advance(WORK_MS);
     let starts = (0..TASKS).map(|index| owner.starts_of(name(1, 0, index)));
-    assert_eq!((starts.collect(), owner.state(1)), once());
+    assert_eq!((starts.collect(), owner.state(1)), completed_once());
 }
 
-/// succeed has an owner that can't save run the job on one worker, and another one take over
-/// once all its tasks have ended. It returns what the second owner came to in some seconds.
-fn succeed(listing: Listing) -> Owner {
+/// run_successor runs the job under an owner that cannot save, and lets a second owner take over
+/// once all its tasks have ended. It returns the second owner after some seconds.
+fn run_successor(listing: Listing) -> Owner {
     let mut first = Owner::new(1);
     first.submit(1, spec(vec![step(TASKS)]));
     first.advance(500);
@@ -107,24 +107,24 @@
     second
 }
 
-/// A later owner has met a worker once it has all of its ends: until then the first of them,
-/// which are all that a list that is cut has, tell nothing of the other tasks.
+/// A later owner has contacted a worker once it has received all of its ends: a list that is cut
+/// has only the first ends, which tell nothing about the other tasks.
 #[test]
 fn a_successor_waits_for_the_ends_beyond_a_list_that_is_cut() {
-    let successor = succeed(Listing::cut(2));
+    let successor = run_successor(Listing::cut(2));
     assert_eq!(successor.starts.len(), 0);
     assert_eq!(successor.state(1), Some(State::Completed));
 }
 
-/// Nor does one report tell it of the ends that show in the next one.
+/// A later owner also waits for the next report, which may list ends that the first one lacks.
 #[test]
 fn a_successor_waits_for_ends_that_show_one_report_late() {
-    let successor = succeed(Listing::late());
+    let successor = run_successor(Listing::late());
     assert_eq!(successor.starts.len(), 0);
     assert_eq!(successor.state(1), Some(State::Completed));
 }
 
-/// A run whose end no report lists is given up, so that its task does not wait for ever.
+/// A run whose end no report lists is given up, so that its task does not wait forever.
 #[test]
 fn a_task_whose_run_is_gone_for_good_starts_again() {
     let mut owner = Owner::new(1);
@@ -138,7 +138,7 @@
     assert_eq!(owner.state(1), Some(State::Completed));
 }
 
-/// step_with feeds an owner an event. The worker takes all starts, and reports lack them.
+/// step_with passes an event to an owner. The worker accepts all starts, but never reports them.
 fn step_with(owner: &mut Owner, event: Event) -> Vec<Effect> {
     let mut effects = owner.cell.step(owner.now(), event);
     let started = |effect: &Effect| match effect {
@@ -157,9 +157,9 @@
     effects
 }
 
-/// report feeds an owner the report of its only worker that lists the ends of some of the
-/// tasks, by number, and returns up to which number it then has the worker forget them: zero
-/// if none that it was not told of before.
+/// report passes a report of the only worker to an owner, with the ends that have the given
+/// numbers. It returns the number up to which the owner then acknowledges ends, or zero if it
+/// acknowledges no further ends.
 fn report(owner: &mut Owner, worker: WorkerKey, numbers: &[u64]) -> Option<u64> {
     let end = |number: &u64| End {
         number: *number,
@@ -177,12 +177,12 @@
         ended: numbers.iter().map(end).collect(),
         whole: true,
     });
-    let held = Event::Renewed {
+    let renewed = Event::Renewed {
         worker,
         sent,
         outcome,
     };
-    let mut effects = step_with(owner, held);
+    let mut effects = step_with(owner, renewed);
     while effects
         .iter()
         .any(|effect| matches!(effect, Effect::Save(_)))
@@ -190,21 +190,21 @@
         owner.now_ms += 1;
         effects = step_with(owner, Event::Saved(true));
     }
-    let noted = effects.iter().find_map(|effect| match effect {
-        Effect::Renew(hold) => Some(hold.acked),
+    let acked = effects.iter().find_map(|effect| match effect {
+        Effect::Renew(renewal) => Some(renewal.acked),
         _ => None,
     });
     owner.now_ms += 1_000;
-    noted
+    acked
 }
 
-/// listed returns an owner that reads the job of these tests, with its only worker.
-fn listed() -> (Owner, WorkerKey) {
+/// owner_of_worker returns an owner that has read the job of these tests, and its only worker.
+fn owner_of_worker() -> (Owner, WorkerKey) {
     let mut owner = Owner::with(0, 2, false);
     owner.submit_to(1, QUEUE, spec(vec![step(TASKS)]), 1, None);
     let effects = owner.cell.step(owner.now(), Event::Listed(info(0)));
     let worker = effects.iter().find_map(|effect| match effect {
-        Effect::Renew(hold) => Some(hold.worker),
+        Effect::Renew(renewal) => Some(renewal.worker),
         _ => None,
     });
     (owner, worker.expect("it is asked for a report"))
@@ -212,30 +212,31 @@
 
 #[test]
 fn an_end_that_shows_after_a_later_one_is_not_forgotten_before_it_is_known() {
-    let (mut owner, worker) = listed();
+    let (mut owner, worker) = owner_of_worker();
     assert_eq!(report(&mut owner, worker, &[1]), Some(1));
     assert_eq!(report(&mut owner, worker, &[3]), Some(0));
     assert_eq!(report(&mut owner, worker, &[2, 3]), Some(3));
 }
 
-/// Two reports that follow each other at once may both lack it.
+/// Two reports in quick succession may both lack the end that is missing.
 #[test]
 fn a_gap_is_waited_for_as_long_as_a_run_that_is_not_shown() {
-    let (mut owner, worker) = listed();
+    let (mut owner, worker) = owner_of_worker();
     assert_eq!(report(&mut owner, worker, &[1]), Some(1));
     for _ in 0..10 {
         report(&mut owner, worker, &[3]);
         owner.now_ms -= 990;
-        let told = owner.cell.step(owner.now(), Event::Tick);
-        let noted = told.iter().find_map(|effect| match effect {
-            Effect::Renew(hold) => Some(hold.acked),
+        let effects = owner.cell.step(owner.now(), Event::Tick);
+        let acked = effects.iter().find_map(|effect| match effect {
+            Effect::Renew(renewal) => Some(renewal.acked),
             _ => None,
         });
-        assert!(noted.is_none_or(|noted| noted == 0), "{noted:?}");
+        assert!(acked.is_none_or(|acked| acked == 0), "{acked:?}");
     }
 }
 
-/// A later owner has not met a worker while ends below those that it lists may be missing.
+/// A later owner has not contacted a worker while ends with lower numbers than the listed ones may
+/// be missing.
 #[test]
 fn a_successor_waits_for_ends_below_those_that_are_listed() {
     let mut owner = Owner::with(1, 2, true);
@@ -252,20 +253,20 @@
     assert_eq!(owner.cell.running(), 0);
 }
 
-/// An earlier owner may have had the worker forget the ends below those that are listed.
+/// An earlier owner may have acknowledged the ends below those that are listed.
 #[test]
-fn ends_that_no_report_lists_hold_up_the_others_for_one_report() {
-    let (mut owner, worker) = listed();
+fn ends_that_no_report_lists_delay_the_others_by_one_report() {
+    let (mut owner, worker) = owner_of_worker();
     assert_eq!(report(&mut owner, worker, &[57, 58]), Some(0));
     assert_eq!(report(&mut owner, worker, &[57, 58]), Some(58));
     assert_eq!(report(&mut owner, worker, &[59]), Some(59));
 }
 
-/// A worker may be lost while ends below those it listed are still waited for. The store has
-/// all that it listed, so a later owner need not wait for it.
+/// A worker may be lost while the owner still waits for ends below those that it listed. All listed
+/// ends are saved, so a later owner need not wait for the worker.
 #[test]
 fn a_worker_that_is_lost_with_a_gap_in_its_ends_is_given_up() {
-    let (mut owner, worker) = listed();
+    let (mut owner, worker) = owner_of_worker();
     owner.workers = vec![Worker::new(info(0), 5_000, owner.now_ms)];
     owner.cut = vec![true];
     assert_eq!(report(&mut owner, worker, &[57]), Some(0));
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -1,22 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
-//! An owner that has lost the store while a successor takes the cell over.
+//! An owner that cannot reach the store while a successor takes over the cell.
 //!
-//! Seen: tasks ran twice at once, and tasks ran again whose end was noted. A
-//! data centre was cut off for 5.5 s, and a second later than it the owner's
-//! own, with the store beyond the cut. A successor took over, met the first data
-//! centre's workers when they were back, renewed their leases and noted ends.
+//! The failure: tasks ran twice at the same time, or ran again after their end was acknowledged.
+//! A data centre was cut off for 5.5 s, and a second after it the owner's own data centre, with
+//! the store beyond the cut. A successor took over, contacted the workers of the first data centre
+//! when they were back, renewed their leases and acknowledged ends.
 //!
-//! How it came about: the earlier owner still had 5 s of authority. By its own
-//! record the leases of the first data centre ran out in that time, so it started
-//! their tasks again on workers beside it, which had met no higher fence.
+//! How it came about: the earlier owner still had 5 s of authority. By its own record the leases
+//! in the first data centre expired in that time, so it started their tasks again on workers in
+//! its own data centre, which had not seen a higher fencing token.
 //!
-//! Cause: the silence of a worker, or a new life at its address, tells an owner
-//! that nothing runs there; it does not tell what a successor did meanwhile. Only
-//! the store tells that there is none.
+//! The cause: if a worker is silent, or a new incarnation answers at its address, an owner knows
+//! that its runs there have ended. It does not know what a successor did in the meantime: only a
+//! confirmation of the store rules out a successor.
 //!
-//! Proof: the first test fails in all its cases if an owner acts on these without
-//! the store's word; the logs of the two daemons on the day that was red show the
-//! same order of events.
+//! The first test fails in all its cases if an owner starts tasks on such evidence without the
+//! store's confirmation.
 
 mod common;
 
@@ -27,16 +26,16 @@
 use stackpier_standin::fleet::Worker;
 use stackpier_state::job::{Spec, State, Step};
 
-/// LEASE_MS is a lease with all that an owner adds until it counts as over.
+/// LEASE_MS is the length of a lease with the margins after which an owner counts it as expired.
 const LEASE_MS: u64 = 6_400;
-/// INHERITED_MS is how long an owner waits for workers that its predecessor leased.
+/// INHERITED_MS is how long an owner waits for workers that its predecessor held leases on.
 const INHERITED_MS: u64 = 11_800;
-/// CROWD_AT_MS is when such an owner is handed in a job that still works then.
+/// CROWD_AT_MS is when the crowd job is submitted to such an owner: it still runs at the end of
+/// the wait.
 const CROWD_AT_MS: u64 = 5_500;
-/// CROWD_MS is how long a job works that takes all room.
+/// CROWD_MS is how long the crowd job runs, which takes all the capacity of a worker.
 const CROWD_MS: u32 = 8_000;
-/// TICK_MS is the time between two ticks, after which a question to the store
-/// has its answer.
+/// TICK_MS is the time between two ticks, with the time that the store takes to answer.
 const TICK_MS: u64 = 55;
 
 fn long_running() -> Step {
@@ -46,8 +45,8 @@
     }
 }
 
-/// successor makes an owner with a higher fence that sees the workers as they
-/// are, and reaches only one.
+/// successor returns an owner with a higher fencing token and a copy of the workers, of which
+/// it reaches only one.
 fn successor(earlier: &Owner, reached: usize, shape: Step) -> Owner {
     let mut later = Owner::with(0, earlier.cell.fence() + 1, true);
     later.now_ms = earlier.now_ms;
@@ -65,29 +64,29 @@
     later
 }
 
-/// next_life replaces a worker by its next life.
-fn next_life(owner: &mut Owner, place: usize) {
+/// replace_incarnation replaces a worker by its next incarnation.
+fn replace_incarnation(owner: &mut Owner, place: usize) {
     let mut next = info(place);
     next.id = format!("w{place}-again");
     owner.workers[place] = Worker::new(next, 9_000, owner.now_ms);
 }
 
-/// Silence is what tells an owner that a task's run is over.
+/// Silence is how an owner learns that a task's run is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Silence {
-    /// The worker did not answer until its lease was over.
+    /// The worker did not answer until its lease expired.
     Lease,
-    /// Another life answers at the worker's address.
-    Life,
+    /// Another incarnation answers at the worker's address.
+    Incarnation,
 }
 
 #[rstest]
 #[case::lease(Silence::Lease)]
-#[case::life(Silence::Life)]
-fn without_the_store_a_silence_starts_nothing(#[case] silence: Silence) {
+#[case::incarnation(Silence::Incarnation)]
+fn without_the_store_tasks_of_silent_workers_do_not_start(#[case] silence: Silence) {
     let shape = match silence {
         Silence::Lease => long_running(),
-        Silence::Life => step(1),
+        Silence::Incarnation => step(1),
     };
     let mut earlier = Owner::new(2);
     earlier.submit(1, spec(vec![shape.clone()]));
@@ -104,30 +103,30 @@
             later.advance(LEASE_MS - 4_600);
             assert_eq!(later.workers[place].runs.len(), 1, "the successor renewed");
         }
-        Silence::Life => {
-            let noted = &later.workers[place].noted;
+        Silence::Incarnation => {
+            let acked = &later.workers[place].noted;
             assert!(
-                noted.iter().any(|end| end.cause == EndCause::Done),
-                "{noted:?}"
+                acked.iter().any(|end| end.cause == EndCause::Done),
+                "{acked:?}"
             );
-            next_life(&mut earlier, place);
+            replace_incarnation(&mut earlier, place);
             earlier.cut[place] = false;
             earlier.advance(500);
         }
     }
     assert_eq!(earlier.starts.len(), 1, "{:?}", earlier.starts[1..].first());
-    // Nobody took over: the store's word is all that was missing.
+    // No other owner took over: with the store's confirmation the task starts.
     earlier.store = true;
     earlier.advance(TICK_MS);
     assert_eq!(earlier.starts.len(), 2);
 }
 
-/// The leases of an earlier owner count as over without an answer of its
-/// workers, too.
+/// The leases of an earlier owner also count as expired without an answer of the workers. The
+/// tasks still wait for the store's confirmation.
 #[rstest]
 #[case::leases(Silence::Lease)]
-#[case::life(Silence::Life)]
-fn without_the_store_inherited_tasks_wait_on(#[case] silence: Silence) {
+#[case::incarnation(Silence::Incarnation)]
+fn without_the_store_inherited_tasks_keep_waiting(#[case] silence: Silence) {
     let mut owner = Owner::with(2, 2, true);
     owner.cell.add_roster(&RosterEntry {
         id: "w1".to_owned(),
@@ -140,8 +139,8 @@
     owner.store = false;
     match silence {
         Silence::Lease => owner.advance(3_000),
-        Silence::Life => {
-            next_life(&mut owner, 1);
+        Silence::Incarnation => {
+            replace_incarnation(&mut owner, 1);
             owner.cut[1] = false;
             owner.advance(1_000);
         }
@@ -152,10 +151,10 @@
     assert_eq!(owner.places(1, 0), [0]);
 }
 
-/// Reading the cell takes time in which a later owner may come: authority counts
-/// from the store's word, not from the end of the reading.
+/// A later owner may take over while an owner still reads the cell from the store: its authority
+/// counts from the store's last confirmation, not from the end of the reading.
 #[test]
-fn an_owner_that_was_long_in_reading_gives_no_orders_before_it_is_confirmed() {
+fn an_owner_that_took_long_to_read_gives_no_orders_before_it_is_confirmed() {
     let mut owner = Owner::with(1, 2, true);
     owner.store = false;
     owner.now_ms = 10_000;
@@ -175,10 +174,10 @@
     assert_eq!(owner.starts.len(), 1);
 }
 
-/// A worker that was given up is off the roster, which a later owner goes by: it
-/// gets no starts before it is on it again.
+/// A worker that was given up is not in the roster, so a later owner would not wait for it: it
+/// gets no starts before it is in the roster again.
 #[test]
-fn a_worker_that_shows_again_gets_no_starts_before_the_roster_has_it() {
+fn a_worker_that_is_listed_again_gets_no_starts_before_the_roster_has_it() {
     let mut owner = Owner::new(1);
     owner.cut[0] = true;
     owner.feed(Event::Unlisted("w0".to_owned()));
@@ -194,8 +193,8 @@
     assert_eq!(owner.starts.len(), 1);
 }
 
-/// What workers say themselves is acted on without the store: a data centre that
-/// is cut off goes on with it.
+/// An owner acts on reports of workers without the store, so that jobs go on in a data centre
+/// that is cut off from it.
 #[test]
 fn without_the_store_jobs_begin_and_go_on_to_their_next_step() {
     let mut owner = Owner::new(1);
@@ -210,8 +209,8 @@
     assert_eq!(owner.places(1, 1), [0]);
 }
 
-/// A lasting task starts again however it ended, and a life that is over runs
-/// nothing, whoever owned it last.
+/// A long-running task starts again however its run ended, and an incarnation that has ended runs
+/// nothing for any owner.
 #[test]
 fn without_the_store_long_running_tasks_of_a_dead_worker_start_elsewhere() {
     let mut owner = Owner::new(2);
@@ -219,15 +218,15 @@
     owner.advance(300);
     owner.store = false;
     let place = owner.starts[0].1;
-    next_life(&mut owner, place);
+    replace_incarnation(&mut owner, place);
     owner.advance(1_000);
     assert_eq!(owner.places(1, 0), [place, 1 - place]);
 }
 
-/// An owner that was replaced may learn of a job of its successor before it learns of
-/// the successor: jobs and ownership come by two watches, and the connection of one may
-/// have gone silent. To it the job is new, and on a worker that its successor has not
-/// met it could start all of it a second time.
+/// An owner that was replaced may learn of a job of its successor before it learns of the
+/// successor: jobs and ownership come by two watches, and the connection of one may hang. The job
+/// is new to the owner, which could start all its tasks a second time on a worker that the
+/// successor has not contacted.
 #[test]
 fn a_job_of_a_later_owner_shows_that_there_is_one() {
     let mut earlier = Owner::new(2);
@@ -243,11 +242,11 @@
     assert!(earlier.deposed);
 }
 
-/// Found by the fuzz once it had copies (all kinds of faults, rate 5, seed 6): an earlier
-/// owner without the store took a run on a worker that it no longer reached for one that
-/// lags, and started a copy elsewhere, 1.6 s after the later owner had noted its end.
+/// Guards against copies of a task that has ended. Found by the fuzz test (all kinds of faults,
+/// rate 5, seed 6): an earlier owner without the store took a run on an unreachable worker for a
+/// slow one, and started a copy elsewhere, 1.6 s after the later owner had acknowledged its end.
 #[test]
-fn a_copy_starts_only_while_no_later_owner_can_have_noted_the_end() {
+fn a_copy_starts_only_while_no_later_owner_can_have_acknowledged_the_end() {
     let shape = Step {
         speculative: true,
         estimate_ms: 2_000,
@@ -261,20 +260,20 @@
     earlier.store = false;
     let mut later = successor(&earlier, place, shape);
     later.advance(2_500);
-    let noted = &later.workers[place].noted;
+    let acked = &later.workers[place].noted;
     assert!(
-        noted.iter().any(|end| end.cause == EndCause::Done),
-        "{noted:?}"
+        acked.iter().any(|end| end.cause == EndCause::Done),
+        "{acked:?}"
     );
     earlier.advance(4_500);
     assert_eq!(earlier.starts.len(), 1, "{:?}", earlier.starts[1..].first());
-    // Nobody took over: with the store's word a copy may start.
+    // No other owner took over: with the store's confirmation a copy may start.
     earlier.store = true;
     earlier.advance(1_500);
     assert_eq!(earlier.starts.len(), 2);
 }
 
-/// crowd returns a job that takes all room of one worker for longer than a lease.
+/// crowd returns a job that takes all the capacity of one worker for longer than a lease.
 fn crowd() -> Spec {
     let shape = Step {
         estimate_ms: CROWD_MS,
@@ -283,29 +282,30 @@
     spec(vec![shape])
 }
 
-/// Found by the fuzz (all kinds of faults: rate 15, seeds 80171 and 80980; rate 5, seed
-/// 80811): a task's worker was cut off until its lease was over, and the store confirmed
-/// the ownership after that. The task waited for room. Then its owner was cut off, too. Its
-/// successor heard the worker, and showed the job as completed; when the earlier owner had
-/// room, it started the task, 3 to 4 s after the store's last word. That word tells that
-/// nobody had heard the worker by then. It does not tell that nobody has heard it since.
+/// Guards against starting a task again on an old confirmation. Found by the fuzz test (all kinds
+/// of faults: rate 15, seeds 80171 and 80980; rate 5, seed 80811): a task's worker was cut off
+/// until its lease expired, and the store confirmed the ownership after that. The task waited for
+/// free capacity. Then its owner was cut off, too. A successor reached the worker, and showed the
+/// job as completed. When the earlier owner had free capacity, it started the task, 3 to 4 s after
+/// the store's last confirmation. That confirmation shows that no successor had reached the worker
+/// by then, but not that none has reached it since.
 #[test]
-fn a_task_that_ended_unseen_starts_only_on_a_fresh_word_of_the_store() {
+fn a_task_whose_end_was_not_received_starts_only_on_a_fresh_confirmation() {
     let mut earlier = Owner::new(2);
     earlier.submit(1, spec(vec![step(1)]));
     earlier.advance(300);
     let place = earlier.starts[0].1;
     earlier.cut[place] = true;
     earlier.advance(1_000);
-    end_unheard(&mut earlier, place);
+    end_unreported(&mut earlier, place);
     earlier.submit(2, crowd());
     earlier.advance(LEASE_MS);
-    check_fresh_word(earlier, place);
+    check_fresh_confirmation(earlier, place);
 }
 
-/// The same of an owner that waited until all leases of the one before it were over.
+/// The same failure, with an owner that waited until all leases of its predecessor expired.
 #[test]
-fn an_inherited_task_starts_only_on_a_fresh_word_of_the_store() {
+fn an_inherited_task_starts_only_on_a_fresh_confirmation() {
     let mut first = Owner::new(2);
     first.submit(1, spec(vec![step(1)]));
     first.advance(300);
@@ -313,15 +313,15 @@
     let mut earlier = successor(&first, 1 - place, step(1));
     earlier.feed(Event::Listed(info(1 - place)));
     earlier.advance(1_000);
-    end_unheard(&mut earlier, place);
+    end_unreported(&mut earlier, place);
     earlier.advance(CROWD_AT_MS);
     earlier.submit_to(2, QUEUE, crowd(), 2, None);
     earlier.advance(INHERITED_MS - CROWD_AT_MS);
-    check_fresh_word(earlier, place);
+    check_fresh_confirmation(earlier, place);
 }
 
-/// end_unheard lets the only run on a worker that its owner does not reach end well.
-fn end_unheard(owner: &mut Owner, place: usize) {
+/// end_unreported lets the only run on a worker that its owner cannot reach end as done.
+fn end_unreported(owner: &mut Owner, place: usize) {
     let worker = &mut owner.workers[place];
     worker.advance(owner.now_ms);
     let ends = &worker.ends;
@@ -331,9 +331,9 @@
     );
 }
 
-/// check_fresh_word has a successor hear the end of a task on a worker, and then gives the
-/// earlier owner room for it, first without the store.
-fn check_fresh_word(mut earlier: Owner, place: usize) {
+/// check_fresh_confirmation lets a successor receive the end of a task on a worker, and then gives
+/// the earlier owner free capacity for the task, first without the store.
+fn check_fresh_confirmation(mut earlier: Owner, place: usize) {
     let before = earlier.starts_of(name(1, 0, 0));
     earlier.store = false;
     let mut later = successor(&earlier, place, step(1));
@@ -341,24 +341,28 @@
     assert_eq!(later.state(1), Some(State::Completed));
     earlier.advance(4_000);
     let free = &earlier.workers[1 - place];
-    assert!(free.runs.is_empty(), "there is room: {:?}", free.runs);
+    assert!(
+        free.runs.is_empty(),
+        "there is free capacity: {:?}",
+        free.runs
+    );
     assert_eq!(earlier.starts_of(name(1, 0, 0)), before);
-    // Nobody took over: with the store's word it may start.
+    // No other owner took over: with the store's confirmation the task may start.
     earlier.store = true;
     earlier.advance(500);
     assert_eq!(earlier.starts_of(name(1, 0, 0)), before + 1);
 }
 
-/// Seen in the fuzz, for a copy: a start that may crash its worker waits for a save. That took
-/// a second, and the start was sent after it, though a later owner might have noted its task's
-/// end meanwhile.
+/// Guards against a start that is sent on an old confirmation, found by the fuzz test with a copy:
+/// a start that may crash its worker waits for a save. The save took a second, and the start was
+/// sent after it, although a later owner might have acknowledged the end of its task meanwhile.
 #[test]
-fn a_start_that_waited_long_for_a_save_is_not_sent_without_the_stores_word() {
+fn a_start_that_waited_long_for_a_save_is_not_sent_without_a_confirmation() {
     let mut owner = Owner::new(2);
     owner.submit(1, spec(vec![step(1)]));
     owner.advance(500);
     let first = owner.starts[0].1;
-    // Its worker falls silent soon after the start, so the task is suspected of a crash.
+    // Its worker stops answering soon after the start, so the task is suspected of a crash.
     owner.cut = vec![true, true];
     owner.advance(4_500);
     owner.feed(Event::Unlisted(info(first).id));
