--- a/crates/stackpier-cell/tests/common/crash.rs
+++ b/crates/stackpier-cell/tests/common/crash.rs
@@ -9,8 +9,8 @@
 
 /// UNLISTED_MS is the time from a worker's crash until its entry leaves the list.
 const UNLISTED_MS: u64 = 4_500;
-/// BACK_MS is the time from a worker's crash until its successor runs, with another id at the
-/// same address.
+/// BACK_MS is the time from a worker's crash until its next incarnation runs, with another id at
+/// the same address.
 const BACK_MS: u64 = 3_000;
 
 /// Restart is the scheduled restart of a crashed worker.
--- a/crates/stackpier-cell/tests/crashes.rs
+++ b/crates/stackpier-cell/tests/crashes.rs
@@ -207,8 +207,8 @@
 /// Guards against a harmless task being blamed for crashes that hit a whole data centre. Found
 /// by the fuzz test (series of cuts, seed 82882): a data centre was cut off, and its workers died
 /// before they answered again. The first worker that was found silent had just started a task
-/// that two other workers had crashed under. As the next worker was found silent 2 ms later,
-/// this counted as the crash of a single worker.
+/// that had run on two other workers when they crashed. As the next worker was found silent 2 ms
+/// later, this counted as the crash of a single worker.
 #[test]
 fn a_worker_that_is_silent_just_before_another_did_not_crash_alone() {
     let mut owner = Owner::new(4);
--- a/crates/stackpier-cell/tests/faults.rs
+++ b/crates/stackpier-cell/tests/faults.rs
@@ -35,11 +35,11 @@
 
 /// renewed_workers returns the workers of the lease renewals among some effects.
 fn renewed_workers(effects: &[Effect]) -> Vec<stackpier_cell::WorkerKey> {
-    let worker = |effect: &Effect| match effect {
+    let renewed = |effect: &Effect| match effect {
         Effect::Renew(renewal) => Some(renewal.worker),
         _ => None,
     };
-    effects.iter().filter_map(worker).collect()
+    effects.iter().filter_map(renewed).collect()
 }
 
 /// Guards against failed runs that are not counted because a later run is listed first. Found by a
--- a/crates/stackpier-cell/tests/flow.rs
+++ b/crates/stackpier-cell/tests/flow.rs
@@ -3,7 +3,7 @@
 //!
 //! The failure: on a link of 2 Mbit/s, 250 bytes per millisecond, starts of 1.7 KB that were all
 //! sent at once delayed heartbeats by two seconds, and the owner lost its cell. The load is that
-//! of a real deployment: 40 tasks in a step, payloads of 1,200 bytes, and four wide jobs within a
+//! of a client account: 40 tasks in a step, payloads of 1,200 bytes, and four wide jobs within a
 //! second.
 
 mod common;
--- a/crates/stackpier-cell/tests/restarts.rs
+++ b/crates/stackpier-cell/tests/restarts.rs
@@ -3,8 +3,9 @@
 //!
 //! The failure: workers crashed repeatedly and restarted under their old ids. Tasks that had
 //! ended as done on them were started again, one of them 22 times, and the steps that waited for
-//! these tasks never began. The owner logged runs that were gone without an end, on 72 workers,
-//! all of which had restarted.
+//! these tasks had not begun at the end of the run. The owner logged runs that were gone without
+//! an end, only on these workers. Replays showed lost ends on 72 workers, all of which had
+//! restarted.
 //!
 //! The cause: the owner kept what it knew of a worker by its id alone, so it did not tell
 //! incarnations apart. A new incarnation numbers its ends from one again. These numbers were
--- a/crates/stackpier-cell/tests/silence.rs
+++ b/crates/stackpier-cell/tests/silence.rs
@@ -12,7 +12,8 @@
 const JOB: u64 = 1;
 /// WORK_MS is how long its task works.
 const WORK_MS: u64 = 1_000;
-/// GIVE_UP_MS is when a call without an answer is given up: long after the next one could be sent.
+/// GIVE_UP_MS is how long a call without an answer takes: much longer than the pause between two
+/// calls.
 const GIVE_UP_MS: u64 = 700;
 /// MAX_RESTART_MS is the time within which a task of an unreachable worker starts elsewhere.
 const MAX_RESTART_MS: u64 = 15_000;
@@ -52,8 +53,8 @@
     owner
 }
 
-/// work advances the owner and all workers: those that are cut off go on with their runs.
-fn work(owner: &mut Owner, ms: u64) {
+/// advance_all advances the owner and all workers: those that are cut off go on with their runs.
+fn advance_all(owner: &mut Owner, ms: u64) {
     for _ in 0..ms {
         owner.advance(1);
         let now_ms = owner.now_ms;
@@ -71,7 +72,7 @@
             owner.now_ms < begin + MAX_RESTART_MS,
             "it never started again"
         );
-        work(&mut owner, 1);
+        advance_all(&mut owner, 1);
     }
     owner.now_ms - begin
 }
@@ -87,9 +88,9 @@
     let start_delay_ms = started_after(cut(give_up_ms));
     let mut owner = cut(give_up_ms);
     let before = owner.starts.len();
-    work(&mut owner, start_delay_ms - before_ms);
+    advance_all(&mut owner, start_delay_ms - before_ms);
     owner.cut.fill(false);
-    work(&mut owner, MAX_RESTART_MS);
+    advance_all(&mut owner, MAX_RESTART_MS);
     assert_eq!(owner.starts.len(), before, "it started again");
     assert_eq!(owner.state(JOB), Some(State::Completed));
     assert!(owner.saved(JOB).is_some_and(|saved| saved.is_done(0)));
@@ -101,9 +102,9 @@
 fn a_worker_that_answered_a_later_poll_is_not_silent() {
     let mut owner = cut_off(GIVE_UP_MS);
     let start_delay_ms = started_after(cut_off(GIVE_UP_MS));
-    work(&mut owner, start_delay_ms - 300);
+    advance_all(&mut owner, start_delay_ms - 300);
     owner.cut.fill(false);
-    work(&mut owner, GIVE_UP_MS + 300);
+    advance_all(&mut owner, GIVE_UP_MS + 300);
     let silences = |log_lines: &[String]| {
         let matches = log_lines
             .iter()
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -10,9 +10,9 @@
 //! in the first data centre expired in that time, so it started their tasks again on workers in
 //! its own data centre, which had not seen a higher fencing token.
 //!
-//! The cause: if a worker is silent, or a new incarnation answers at its address, an owner knows
-//! that its runs there have ended. It does not know what a successor did in the meantime: only a
-//! confirmation of the store rules out a successor.
+//! The cause: if a worker is silent until its lease expires, or a new incarnation answers at its
+//! address, an owner knows that nothing runs there any more. It does not know what a successor did
+//! in the meantime: only a confirmation of the store rules out a successor.
 //!
 //! The first test fails in all its cases if an owner starts tasks on such evidence without the
 //! store's confirmation.
