--- a/crates/stackpier-cell/tests/crashes.rs
+++ b/crates/stackpier-cell/tests/crashes.rs
@@ -29,8 +29,8 @@
 
 /// SMALL_VM is how many ratings per millisecond a daemon with 0.12 cores may do.
 const SMALL_VM: u32 = 960;
-/// STALL_MS is how long an owner stalls: longer than the entry of a worker that is gone may
-/// stay listed.
+/// STALL_MS is how long an owner stalls: longer than the entry of a worker that is gone stays
+/// listed.
 const STALL_MS: u64 = 8_500;
 
 /// crashing_owner returns an owner whose workers run harmless tasks, and to which a job is
@@ -476,8 +476,8 @@
     assert_eq!(saved.state, State::Failed);
 }
 
-/// The same sequence of owners, but only the first worker crashes: starts whose answers were lost
-/// do not count against the task.
+/// The same sequence of owners, but only the first worker crashes: starts whose outcome their
+/// owner did not learn do not count against the task.
 #[test]
 fn starts_on_workers_that_keep_running_do_not_count() {
     let mut succession = Succession::new(4);
--- a/crates/stackpier-cell/tests/flow.rs
+++ b/crates/stackpier-cell/tests/flow.rs
@@ -21,7 +21,8 @@
 const WIDE: u32 = 160;
 /// START_BYTES is how many bytes a link of 2 Mbit/s sends in 150 ms.
 const START_BYTES: u64 = 37_500;
-/// MAX_STARTS is how many starts of 1,650 bytes reach that limit, with the one that crosses it.
+/// MAX_STARTS is how many starts of 1,650 bytes may wait for answers: those that fit into
+/// `START_BYTES`, and the one that exceeds it.
 const MAX_STARTS: usize = 23;
 /// SLOW_MS is how long an answer takes on a full link.
 const SLOW_MS: u64 = 150;
--- a/crates/stackpier-cell/tests/uncontacted.rs
+++ b/crates/stackpier-cell/tests/uncontacted.rs
@@ -9,10 +9,10 @@
 
 /// JOB is a job that the first owner accepted and did not start.
 const JOB: u64 = 1;
-/// GIVE_UP_MS is when a call without an answer is given up.
+/// GIVE_UP_MS is how long a call without an answer takes until it is given up.
 const GIVE_UP_MS: u64 = 600;
-/// APART_MS is the time between the first polls of two workers, so that a poll waits for its
-/// answer at any time.
+/// APART_MS is the time between the first polls of two workers: short enough that some poll is
+/// always without an answer.
 const APART_MS: u64 = 20;
 /// LOST_MS is when operators count a job as lost that could run and does not.
 const LOST_MS: u64 = 3_000;
