--- a/crates/stackpier-cell/tests/cancelling.rs
+++ b/crates/stackpier-cell/tests/cancelling.rs
@@ -1,14 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A cancelling that reaches the owner before its job.
+//! A cancellation that reaches the owner before its job.
 //!
-//! Seen: in trials only. Tasks of a job began after its cancelling had been answered, and ran
-//! until the watch of the store brought the cancelling again.
-//!
-//! How it came about: the owner is told of a job and of its cancelling by two messages, from
-//! two daemons where a client account asked two. The cancelling came first, and was left aside
-//! as that of an unknown job.
-//!
-//! Cause: two messages do not keep their order.
+//! A job and its cancellation reach the owner in two messages, which may come from two daemons
+//! and in either order. The owner must not ignore a cancellation because the job is still
+//! unknown: the job's tasks would start after the cancellation was answered, and run until the
+//! watch on the store delivers it again.
 
 mod common;
 
@@ -18,7 +14,7 @@
 use stackpier_state::job::State;
 
 #[test]
-fn a_job_whose_cancelling_came_first_starts_nothing() {
+fn a_job_cancelled_before_it_arrives_starts_nothing() {
     let mut owner = Owner::new(2);
     owner.feed(Event::Cancelled(key::Job(1)));
     owner.submit(1, spec(vec![step(2)]));
@@ -30,7 +26,7 @@
 }
 
 #[test]
-fn a_cancelling_of_an_unknown_job_is_no_job() {
+fn a_cancellation_creates_no_job() {
     let mut owner = Owner::new(1);
     owner.feed(Event::Cancelled(key::Job(1)));
     owner.advance(500);
--- a/crates/stackpier-cell/tests/explain.rs
+++ b/crates/stackpier-cell/tests/explain.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The owner says of each open task of a job where it runs or what keeps it
-//! from starting, within bounds.
+//! Explanations of a job: where each open task runs, or which obstacle keeps it from starting.
+//! Their length is limited.
 
 mod common;
 
@@ -16,21 +16,21 @@
     owner.cell.explain(key::Job(job)).expect("the job is known")
 }
 
-/// wide returns tasks that no worker has the processors for.
-fn wide(count: u32) -> Step {
-    let mut wide = step(count);
-    wide.size.milli_cores = 64_000;
-    wide
+/// oversized_step returns a step whose tasks request more processors than any worker has.
+fn oversized_step(count: u32) -> Step {
+    let mut oversized = step(count);
+    oversized.size.milli_cores = 64_000;
+    oversized
 }
 
-/// obstacles returns what keeps a waiting task from the workers.
-fn obstacles(standing: &Standing) -> Vec<Kept> {
+/// list_obstacles returns the obstacles that keep a waiting task from the workers.
+fn list_obstacles(standing: &Standing) -> Vec<Kept> {
     match standing {
         Standing::Waits(Wait {
             cause: Cause::Workers(tally),
             ..
         }) => tally.kept.clone(),
-        other => panic!("it does not wait for workers: {other:?}"),
+        other => panic!("the task does not wait for workers: {other:?}"),
     }
 }
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_task_that_runs_names_its_worker() {
+fn an_explanation_names_the_worker_of_a_running_task() {
     let mut owner = Owner::new(2);
     owner.submit(1, spec(vec![step(1)]));
     owner.advance(300);
@@ -49,7 +49,7 @@
     assert_eq!((job.state, job.open, job.left_out), (State::Running, 1, 0));
     assert_eq!(job.tasks[0].name, name(1, 0, 0).to_string());
     let Standing::Runs(runs) = &job.tasks[0].standing else {
-        panic!("it has a run: {job:?}");
+        panic!("the task has no run: {job:?}");
     };
     assert_eq!(runs.len(), 1);
     assert_eq!(
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_task_on_a_silent_worker_says_for_how_long() {
+fn an_explanation_shows_how_long_a_worker_has_been_silent() {
     let mut owner = Owner::new(1);
     let mut long_running = step(1);
     long_running.long_running = true;
@@ -69,19 +69,19 @@
     owner.advance(3_000);
     let job = explain(&mut owner, 1);
     let Standing::Runs(runs) = &job.tasks[0].standing else {
-        panic!("its lease still holds: {job:?}");
+        panic!("no run, though its lease has not expired: {job:?}");
     };
     assert!(runs[0].silent_ms.is_some_and(|ms| ms >= 2_000), "{job:?}");
 }
 
 #[test]
-fn a_task_that_waits_says_what_keeps_it_from_each_worker() {
+fn an_explanation_shows_the_obstacle_of_each_worker() {
     let mut owner = Owner::new(3);
     let after = Step {
         after: vec![0],
         ..step(2)
     };
-    owner.submit(1, spec(vec![wide(1), after]));
+    owner.submit(1, spec(vec![oversized_step(1), after]));
     owner.advance(300);
     let job = explain(&mut owner, 1);
     assert_eq!((job.state, job.open), (State::Pending, 3));
@@ -89,31 +89,31 @@
         obstacle: Obstacle::Full,
         workers: 3,
     };
-    assert_eq!(obstacles(&job.tasks[0].standing), vec![full]);
+    assert_eq!(list_obstacles(&job.tasks[0].standing), vec![full]);
     assert_eq!(job.tasks[1].standing, Standing::Blocked(1));
     assert_eq!(job.tasks[2].standing, Standing::Blocked(1));
 }
 
 #[test]
-fn a_task_that_an_earlier_owner_may_have_started_says_so() {
-    let mut later = Owner::with(2, 2, true);
-    later.cell.add_roster(&RosterEntry {
+fn an_explanation_shows_that_a_predecessor_may_have_started_the_task() {
+    let mut successor = Owner::with(2, 2, true);
+    successor.cell.add_roster(&RosterEntry {
         id: "w1".to_owned(),
         address: "address-1".to_owned(),
     });
-    later.cut[1] = true;
-    later.feed(Event::Listed(info(0)));
-    later.submit_to(1, QUEUE, spec(vec![step(1)]), 1, None);
-    later.advance(500);
-    let job = explain(&mut later, 1);
+    successor.cut[1] = true;
+    successor.feed(Event::Listed(info(0)));
+    successor.submit_to(1, QUEUE, spec(vec![step(1)]), 1, None);
+    successor.advance(500);
+    let job = explain(&mut successor, 1);
     let Standing::Waits(wait) = &job.tasks[0].standing else {
-        panic!("it waits: {job:?}");
+        panic!("the task does not wait: {job:?}");
     };
     assert_eq!(wait.cause, Cause::Predecessor);
 }
 
 #[test]
-fn a_completed_job_has_nothing_open() {
+fn a_completed_job_has_no_open_tasks() {
     let mut owner = Owner::new(1);
     owner.submit_to(1, QUEUE, spec(vec![step(3)]), 0, None);
     owner.advance(4_000);
@@ -125,10 +125,10 @@
 }
 
 #[test]
-fn a_large_job_is_explained_up_to_a_bound() {
+fn a_large_job_is_explained_up_to_a_limit() {
     let mut owner = Owner::new(1);
     let count = 5_000;
-    owner.submit(1, spec(vec![wide(count)]));
+    owner.submit(1, spec(vec![oversized_step(count)]));
     owner.advance(300);
     let job = explain(&mut owner, 1);
     assert_eq!(job.tasks.len(), MAX_TASKS);
@@ -137,15 +137,18 @@
 }
 
 #[test]
-fn a_job_of_many_waiting_steps_still_shows_what_runs() {
+fn a_job_of_many_waiting_steps_still_shows_its_running_task() {
     let mut owner = Owner::new(1);
-    let mut steps = vec![wide(1); 200];
+    let mut steps = vec![oversized_step(1); 200];
     steps.push(step(1));
     owner.submit(1, spec(steps));
     owner.advance(300);
     let job = explain(&mut owner, 1);
     assert_eq!(job.open, 201);
-    assert!(job.tasks.len() < 50, "each step is a look at all workers");
+    assert!(
+        job.tasks.len() < 50,
+        "each step costs a scan of all workers"
+    );
     assert_eq!(job.left_out as usize, 201 - job.tasks.len());
     let runs = |task: &&Task| matches!(task.standing, Standing::Runs(_));
     assert_eq!(job.tasks.iter().filter(runs).count(), 1);
--- a/crates/stackpier-cell/tests/interference.rs
+++ b/crates/stackpier-cell/tests/interference.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The pair model, and what follows from it for filling tasks.
+//! The interference model of image pairs, and its effect on best-effort tasks.
 
 mod common;
 
@@ -15,8 +15,8 @@
 use stackpier_standin::fleet::Behaviour;
 use stackpier_state::job::{State, Step};
 
-/// serving returns a step of lasting tasks with a target of 20 ms.
-fn serving(count: u32) -> Step {
+/// serving_step returns a step of long-running tasks with a tail-latency target of 20 ms.
+fn serving_step(count: u32) -> Step {
     Step {
         long_running: true,
         target_ms: 20,
@@ -25,7 +25,7 @@
     }
 }
 
-fn filling(count: u32) -> Step {
+fn best_effort_step(count: u32) -> Step {
     Step {
         best_effort: true,
         checkpointing: true,
@@ -35,16 +35,16 @@
     }
 }
 
-/// fills_at_work returns how many runs of job 2, which fills, work on the
+/// count_working_runs returns how many runs of job 2, the best-effort one, are at work on the
 /// first worker.
-fn fills_at_work(owner: &Owner) -> usize {
+fn count_working_runs(owner: &Owner) -> usize {
     let runs = owner.workers[0].runs.iter();
     let best_effort = runs.filter(|run| run.task.job.0 == 2);
     best_effort.filter(|run| run.is_working()).count()
 }
 
-/// behaviour lets the tasks of a job serve with a tail latency.
-fn behaviour(owner: &mut Owner, job: u64, tail_ms: u32) {
+/// set_tail_latency makes the tasks of a job serve with a tail latency.
+fn set_tail_latency(owner: &mut Owner, job: u64, tail_ms: u32) {
     let size = step(1).size;
     let behaviour = Behaviour {
         size,
@@ -56,68 +56,72 @@
 }
 
 #[test]
-fn filling_tasks_are_paused_or_moved_before_harm_is_counted() {
+fn best_effort_tasks_are_paused_or_moved_before_harm_counts() {
     let mut owner = Owner::new(1);
-    behaviour(&mut owner, 1, 60);
-    owner.submit(1, spec(vec![serving(1)]));
-    owner.submit(2, spec(vec![filling(3)]));
+    set_tail_latency(&mut owner, 1, 60);
+    owner.submit(1, spec(vec![serving_step(1)]));
+    owner.submit(2, spec(vec![best_effort_step(3)]));
     owner.advance(4_000);
     assert_eq!(
-        fills_at_work(&owner),
+        count_working_runs(&owner),
         0,
         "the serving task has been over its target for seconds"
     );
 }
 
-/// Found by a day of our own (ksf-ho, mix-zone-cut-owner-dies, HARM): single
-/// rough figures just below the target began the count anew.
+/// Guards against harm that is never counted: a single noisy sample just below the target
+/// restarted the time for which the task counts as over it.
 #[test]
-fn a_figure_just_below_the_target_does_not_end_the_harm() {
+fn a_sample_just_below_the_target_does_not_end_the_harm() {
     let mut owner = Owner::new(1);
-    behaviour(&mut owner, 1, 24);
-    owner.submit(1, spec(vec![serving(1)]));
-    owner.submit(2, spec(vec![filling(3)]));
+    set_tail_latency(&mut owner, 1, 24);
+    owner.submit(1, spec(vec![serving_step(1)]));
+    owner.submit(2, spec(vec![best_effort_step(3)]));
     for tail_ms in [24, 24, 19, 24, 24, 19, 24, 24, 24] {
         owner.workers[0].set_tail(tail_ms);
         owner.advance(450);
     }
     assert_eq!(
-        fills_at_work(&owner),
+        count_working_runs(&owner),
         0,
-        "it has been over its target but for two figures"
+        "all but two samples were over the target"
     );
 }
 
-/// Figures are rough: one far below the target, between others above it, does not
-/// show that the task has recovered.
+/// Samples are noisy: one far below the target, among others above it, does not show that the
+/// task has recovered.
 #[test]
-fn a_single_low_figure_does_not_end_the_harm() {
+fn a_single_low_sample_does_not_end_the_harm() {
     let mut owner = Owner::new(1);
-    behaviour(&mut owner, 1, 24);
-    owner.submit(1, spec(vec![serving(1)]));
-    owner.submit(2, spec(vec![filling(3)]));
+    set_tail_latency(&mut owner, 1, 24);
+    owner.submit(1, spec(vec![serving_step(1)]));
+    owner.submit(2, spec(vec![best_effort_step(3)]));
     for tail_ms in [24, 24, 12, 24, 24, 12, 24, 24, 24] {
         owner.workers[0].set_tail(tail_ms);
         owner.advance(450);
     }
-    assert_eq!(fills_at_work(&owner), 0, "it has been over its target");
+    assert_eq!(
+        count_working_runs(&owner),
+        0,
+        "the task has been over its target"
+    );
 }
 
 #[test]
-fn filling_tasks_work_on_beside_a_calm_serving_task() {
+fn best_effort_tasks_continue_beside_a_serving_task_within_its_target() {
     let mut owner = Owner::new(1);
-    behaviour(&mut owner, 1, 4);
-    owner.submit(1, spec(vec![serving(1)]));
-    owner.submit(2, spec(vec![filling(3)]));
+    set_tail_latency(&mut owner, 1, 4);
+    owner.submit(1, spec(vec![serving_step(1)]));
+    owner.submit(2, spec(vec![best_effort_step(3)]));
     owner.advance(10_000);
     assert_eq!(owner.state(2), Some(State::Completed));
     assert_eq!(owner.places(2, 0).len(), 3, "none was moved");
 }
 
-/// A pair with an effect is told from one without, where the own load is known
-/// only roughly.
+/// The model distinguishes a pair with an effect from one without, though the serving task's
+/// own load is known only roughly.
 #[test]
-fn the_model_tells_harmful_pairs_from_harmless_ones() {
+fn the_model_distinguishes_harmful_pairs_from_harmless_ones() {
     let mut images = Images::default();
     let (serving, harmful, harmless) = (
         images.key("serving"),
@@ -144,8 +148,8 @@
     assert!(low.mean.abs() < 0.01, "{low:?}");
 }
 
-/// A sample at the limit may stand for any load above it, so it is no sign
-/// that the tasks beside it do less than was learnt.
+/// A sample at the limit may stand for any load above it, so it is no evidence that the tasks
+/// beside it have less effect than the model has learnt.
 #[test]
 fn a_sample_at_the_limit_does_not_lower_a_coefficient() {
     let mut images = Images::default();
@@ -175,21 +179,25 @@
     assert!(model.pair(serving, filling).mean > 0.05);
 }
 
-/// A load read off a tail is that of a queue: half of what the task carries at
-/// twice the unloaded tail, five sixths at the target.
+/// A load is derived from a tail latency as in a queue: half of the task's capacity at twice the
+/// unloaded tail latency, five sixths at the target.
 #[test]
-fn a_load_is_read_off_a_tail() {
+fn a_load_is_derived_from_a_tail_latency() {
     assert!((interference::load(20, 60) - 0.5).abs() < 1e-9);
     assert!((interference::load(60, 60) - interference::LOAD_AT_TARGET).abs() < 1e-9);
-    assert_eq!(interference::load(0, 60), 0.0, "below the unloaded tail");
+    assert_eq!(
+        interference::load(0, 60),
+        0.0,
+        "below the unloaded tail latency"
+    );
     assert_eq!(interference::load(60_000, 60), interference::LOAD_LIMIT);
     assert_eq!(interference::load(60, 0), interference::LOAD_LIMIT);
 }
 
-/// Steps with the same period and different phases: the period is found, and
-/// each own load is foretold.
+/// For steps with the same period and different phases, the period is found and the own load of
+/// each is predicted.
 #[test]
-fn the_swing_of_each_step_is_foretold() {
+fn the_periodic_load_of_each_step_is_predicted() {
     let mut random = ChaCha8Rng::seed_from_u64(11);
     let own = |step: usize, at_ms: u64| {
         let angle = std::f64::consts::TAU * at_ms as f64 / 10_000.0 + step as f64;
@@ -222,16 +230,16 @@
     }
 }
 
-/// Nothing known, a forecast says so by its variance.
+/// A prediction without any samples has a large variance.
 #[test]
 fn an_unknown_load_is_uncertain() {
     let expected = Curve::default().expect(&Cycle::default(), Millis(1_000));
     assert!(expected.variance > 0.02, "{expected:?}");
 }
 
-/// Scores that can't be of this version's periods are left aside.
+/// Scores that don't fit the periods of this version are ignored.
 #[test]
-fn scores_of_other_periods_are_not_taken_over() {
+fn scores_of_other_periods_are_ignored() {
     let mut cycle = Cycle::default();
     cycle.set_scores(&[1.0, 2.0]);
     assert_eq!(cycle, Cycle::default());
@@ -240,15 +248,15 @@
     assert_eq!(cycle, Cycle::default());
 }
 
-/// What presses on a serving task is slowed down by what is expected of that,
-/// before it has been over its target for so long that all is paused.
+/// Best-effort tasks are slowed down according to the predicted load of the serving task, before
+/// that has been over its target for long enough that all of them are paused.
 #[test]
-fn filling_tasks_are_slowed_before_a_task_is_over_its_target_for_long() {
+fn best_effort_tasks_are_slowed_before_a_task_is_over_its_target_for_long() {
     let mut owner = Owner::new(1);
-    behaviour(&mut owner, 1, 6);
-    owner.submit(1, spec(vec![serving(1)]));
+    set_tail_latency(&mut owner, 1, 6);
+    owner.submit(1, spec(vec![serving_step(1)]));
     owner.advance(2_000);
-    let mut large = filling(2);
+    let mut large = best_effort_step(2);
     large.size.milli_cores = 3_000;
     owner.submit(2, spec(vec![large]));
     owner.workers[0].set_tail(23);
@@ -261,46 +269,49 @@
     assert!(paces.iter().any(|pace| *pace < 100), "{paces:?}");
 }
 
-/// Found on tg-fleetops-grown (trouble-2): a new owner knew no pair, and a
-/// third of all serving tasks were over their targets.
+/// Guards against a new owner that knows no pair: a third of all serving tasks were over their
+/// targets.
 #[test]
-fn a_later_owner_takes_over_what_was_learnt() {
+fn a_successor_takes_over_the_model() {
     let mut owner = Owner::new(1);
-    behaviour(&mut owner, 1, 12);
-    owner.submit(1, spec(vec![serving(2)]));
-    owner.submit(2, spec(vec![filling(2)]));
+    set_tail_latency(&mut owner, 1, 12);
+    owner.submit(1, spec(vec![serving_step(2)]));
+    owner.submit(2, spec(vec![best_effort_step(2)]));
     owner.advance(6_000);
     owner.submit(3, spec(vec![step(1)]));
     owner.advance(2_000);
     let mut saved = owner.saves.iter().filter_map(|save| save.memory.clone());
-    let memory = saved.next_back().expect("it was saved");
+    let memory = saved.next_back().expect("the model was not saved");
     assert_eq!(memory.serving[0].image, "serving");
     assert_eq!(memory.serving[0].pairs[0].0, "filling");
-    let mut later = Owner::new(1);
-    later.cell.restore_model(&memory);
-    later.submit(3, spec(vec![serving(1)]));
-    later.advance(3_000);
-    later.submit(4, spec(vec![step(1)]));
-    later.advance(2_000);
-    let mut saved = later.saves.iter().filter_map(|save| save.memory.clone());
-    let again = saved.next_back().expect("it was saved again");
+    let mut successor = Owner::new(1);
+    successor.cell.restore_model(&memory);
+    successor.submit(3, spec(vec![serving_step(1)]));
+    successor.advance(3_000);
+    successor.submit(4, spec(vec![step(1)]));
+    successor.advance(2_000);
+    let mut saved = successor
+        .saves
+        .iter()
+        .filter_map(|save| save.memory.clone());
+    let again = saved.next_back().expect("the model was not saved again");
     assert_eq!(again.serving[0].image, "serving");
     assert_eq!(again.serving[0].pairs, memory.serving[0].pairs);
 }
 
-/// An order on pace that gets no answer, or that another overtook, is sent again: at
-/// its old pace the task would harm what serves beside it.
+/// A pace order that gets no answer, or that another order overtook, is sent again: at its old
+/// pace the task would harm the serving task beside it.
 #[rstest]
 #[case::unanswered(true)]
 #[case::overtaken(false)]
-fn an_order_on_pace_that_was_not_carried_out_is_sent_again(#[case] unanswered: bool) {
+fn a_pace_order_that_was_not_carried_out_is_sent_again(#[case] unanswered: bool) {
     let mut owner = Owner::new(1);
-    behaviour(&mut owner, 1, 8);
-    owner.submit(1, spec(vec![serving(1)]));
+    set_tail_latency(&mut owner, 1, 8);
+    owner.submit(1, spec(vec![serving_step(1)]));
     let long = Step {
         estimate_ms: 60_000,
         checkpointing: false,
-        ..filling(1)
+        ..best_effort_step(1)
     };
     owner.submit(2, spec(vec![long]));
     owner.advance(5_000);
@@ -309,9 +320,11 @@
     owner.advance(5_000);
     if !unanswered {
         let mut runs = owner.workers[0].runs.iter_mut();
-        let run = runs.find(|run| run.task.job.0 == 2).expect("a run");
+        let run = runs
+            .find(|run| run.task.job.0 == 2)
+            .expect("job 2 has no run");
         run.pace = 100;
         owner.advance(3_000);
     }
-    assert_eq!(fills_at_work(&owner), 0);
+    assert_eq!(count_working_runs(&owner), 0);
 }
--- a/crates/stackpier-cell/tests/jobs.rs
+++ b/crates/stackpier-cell/tests/jobs.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What a job asks for: order of steps, gangs, racks, spread, labels, copies,
-//! lasting tasks, times, priorities, attempts, cancelling.
+//! The options of a job: order of steps, gangs, racks, spread, labels, copies, long-running
+//! and best-effort tasks, schedules, priorities, attempts, cancellation, advice.
 
 mod common;
 
@@ -19,7 +19,11 @@
     };
     owner.submit(1, spec(vec![step(3), second]));
     owner.advance(500);
-    assert_eq!(owner.places(1, 1).len(), 0, "the first step still works");
+    assert_eq!(
+        owner.places(1, 1).len(),
+        0,
+        "the first step is still running"
+    );
     assert_eq!(owner.state(1), Some(State::Running));
     owner.advance(2_000);
     assert_eq!(owner.places(1, 1).len(), 2);
@@ -27,13 +31,13 @@
 }
 
 #[test]
-fn a_job_counts_as_waiting_until_a_task_has_begun() {
+fn a_job_counts_as_waiting_until_a_task_has_started() {
     let mut owner = Owner::new(0);
     owner.submit(1, spec(vec![step(1)]));
     owner.advance(100);
     assert_eq!(owner.cell.waiting(QUEUE), 1);
     assert_eq!(owner.state(1), Some(State::Pending));
-    assert_eq!(owner.state(2), None, "nobody handed this one in");
+    assert_eq!(owner.state(2), None, "this job was not submitted");
 }
 
 #[test]
@@ -62,7 +66,7 @@
 }
 
 #[test]
-fn a_gang_of_one_rack_stays_in_one() {
+fn a_same_rack_gang_starts_in_one_rack() {
     let mut owner = Owner::new(4);
     let gang = Step {
         gang: true,
@@ -78,7 +82,7 @@
 }
 
 #[test]
-fn tasks_go_to_the_rack_of_their_data() {
+fn tasks_start_in_the_rack_of_their_data() {
     let mut owner = Owner::new(4);
     let near = Step {
         rack: Some("r1".to_owned()),
@@ -91,7 +95,7 @@
 }
 
 #[test]
-fn tasks_do_not_wait_for_a_full_rack_for_ever() {
+fn tasks_do_not_wait_indefinitely_for_a_full_rack() {
     let mut owner = Owner::new(4);
     let near = Step {
         rack: Some("r1".to_owned()),
@@ -103,7 +107,7 @@
 }
 
 #[test]
-fn no_more_tasks_of_a_step_on_a_worker_than_it_allows() {
+fn a_worker_runs_no_more_tasks_of_a_step_than_the_step_allows() {
     let mut owner = Owner::new(2);
     let apart = Step {
         most_per_worker: Some(2),
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn a_label_keeps_tasks_off_other_workers() {
+fn tasks_start_only_on_workers_with_their_label() {
     let mut owner = Owner::new(2);
     let labelled = Step {
         label: Some("r0".to_owned()),
@@ -197,7 +201,7 @@
 }
 
 #[test]
-fn filling_tasks_take_no_counted_room() {
+fn best_effort_tasks_take_no_guaranteed_capacity() {
     let mut owner = Owner::new(1);
     let mut wide = step(1);
     wide.size.milli_cores = 8_000;
@@ -205,23 +209,23 @@
         long_running: true,
         ..wide
     };
-    let filling = Step {
+    let best_effort_step = Step {
         best_effort: true,
         ..step(2)
     };
     owner.submit(1, spec(vec![long_running]));
     owner.advance(200);
-    owner.submit(2, spec(vec![filling]));
+    owner.submit(2, spec(vec![best_effort_step]));
     owner.advance(200);
     assert_eq!(
         owner.places(2, 0).len(),
         2,
-        "they run beside a full reservation"
+        "they run on a worker whose processors are all reserved"
     );
 }
 
 #[test]
-fn rounds_start_when_they_are_due() {
+fn rounds_start_at_their_scheduled_times() {
     let mut owner = Owner::new(1);
     let schedule = Schedule {
         rounds: 3,
@@ -244,7 +248,7 @@
 }
 
 #[test]
-fn urgent_queues_go_first() {
+fn jobs_of_urgent_queues_start_first() {
     let mut owner = Owner::new(1);
     owner.feed(Event::Queues(vec![queue("later", 2)]));
     owner.submit(1, spec(vec![step(8)]));
@@ -274,7 +278,7 @@
 }
 
 #[test]
-fn a_cancelled_job_is_stopped_and_starts_nothing_more() {
+fn a_cancelled_job_is_stopped_and_starts_no_further_tasks() {
     let mut owner = Owner::new(1);
     owner.submit(1, spec(vec![step(12)]));
     owner.advance(300);
@@ -295,12 +299,12 @@
 #[test]
 fn a_moved_task_resumes_from_its_checkpoint() {
     let mut owner = Owner::new(2);
-    let saving = Step {
+    let checkpointing_step = Step {
         checkpointing: true,
         estimate_ms: 6_000,
         ..step(1)
     };
-    owner.submit(1, spec(vec![saving]));
+    owner.submit(1, spec(vec![checkpointing_step]));
     owner.advance(3_000);
     let place = owner.starts[0].1;
     let mut leaving = common::info(place);
@@ -316,7 +320,7 @@
 }
 
 #[test]
-fn tasks_of_an_advised_queue_go_where_the_adviser_allows() {
+fn tasks_of_an_advised_queue_start_where_the_adviser_allows() {
     let mut owner = Owner::new(4);
     let advised = stackpier_cell::Queue {
         advised: true,
@@ -332,13 +336,13 @@
         .iter()
         .filter_map(|(start, _)| start.ticket.as_deref());
     assert_eq!(tickets.count(), 20);
-    assert!(owner.asked.len() < 12, "{:?} questions", owner.asked);
+    assert!(owner.asked.len() < 12, "{:?} advice requests", owner.asked);
 }
 
-/// A configuration dropped the queue, and another daemon took over: it never saw the
-/// queue, and the job still runs.
+/// A job still runs if its queue was removed from the configuration before another daemon took
+/// over, which therefore does not know the queue.
 #[test]
-fn a_job_of_a_dropped_queue_runs_under_a_later_owner() {
+fn a_job_of_a_removed_queue_runs_under_a_successor() {
     let mut owner = Owner::with(2, 2, true);
     for place in 0..2 {
         owner.feed(Event::Listed(info(place)));
--- a/crates/stackpier-cell/tests/maintenance.rs
+++ b/crates/stackpier-cell/tests/maintenance.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Hosts that operators want taken down for maintenance.
+//! Plans of operators that take hosts down for maintenance.
 
 mod common;
 
@@ -11,10 +11,10 @@
 use stackpier_standin::fleet::Behaviour;
 use stackpier_state::job::{State, Step};
 
-/// DOWN_MS is how long the stand-in keeps a host down.
+/// DOWN_MS is the time for which the stand-in platform keeps a host down.
 const DOWN_MS: u64 = 2_000;
 
-fn plan(hosts: &[usize], within_ms: u64, max_down: u32) -> Plan {
+fn new_plan(hosts: &[usize], within_ms: u64, max_down: u32) -> Plan {
     Plan {
         number: 7,
         hosts: hosts.iter().map(|host| format!("h{host}")).collect(),
@@ -23,7 +23,7 @@
     }
 }
 
-fn long_running(count: u32, may_miss: u32) -> Step {
+fn long_running_step(count: u32, may_miss: u32) -> Step {
     Step {
         long_running: true,
         may_miss: Some(may_miss),
@@ -32,35 +32,38 @@
     }
 }
 
-/// records returns how far the plans are, as last saved.
-fn records(owner: &Owner) -> Vec<Record> {
+/// last_saved_records returns the progress of the plans, as last saved.
+fn last_saved_records(owner: &Owner) -> Vec<Record> {
     let saved = owner.saves.iter().rev();
     let mut saved = saved.filter_map(|save| save.maintenance.clone());
     saved.next().unwrap_or_default()
 }
 
-/// taken_down returns the hosts that were ordered down, sorted.
-fn taken_down(owner: &Owner) -> Vec<&str> {
+/// list_downed_hosts returns the hosts that were ordered down, sorted.
+fn list_downed_hosts(owner: &Owner) -> Vec<&str> {
     let orders = owner.downs.iter();
     let mut hosts: Vec<&str> = orders.map(|down| down.1.host.as_str()).collect();
     hosts.sort_unstable();
     hosts
 }
 
-/// at_work returns how many tasks of a job work on any worker.
-fn at_work(owner: &Owner, job: u64) -> usize {
+/// count_working returns the number of tasks of a job that are at work on any worker.
+fn count_working(owner: &Owner, job: u64) -> usize {
     let runs = owner.workers.iter().flat_map(|worker| &worker.runs);
     let of_job = runs.filter(|run| run.task.job.0 == job);
     of_job.filter(|run| run.is_working()).count()
 }
 
 #[test]
-fn all_hosts_of_a_plan_go_down_once_within_its_time() {
+fn each_host_of_a_plan_goes_down_once_within_its_time() {
     let mut owner = Owner::new(6);
-    owner.feed(Event::Plan(plan(&[0, 1, 2, 3, 4, 5], 20_000, 2)));
+    owner.feed(Event::Plan(new_plan(&[0, 1, 2, 3, 4, 5], 20_000, 2)));
     owner.advance(20_000);
-    assert_eq!(taken_down(&owner), ["h0", "h1", "h2", "h3", "h4", "h5"]);
-    let record = &records(&owner)[0];
+    assert_eq!(
+        list_downed_hosts(&owner),
+        ["h0", "h1", "h2", "h3", "h4", "h5"]
+    );
+    let record = &last_saved_records(&owner)[0];
     assert!(record.completed, "{record:?}");
     assert_eq!(record.down.len(), 6);
 }
@@ -68,7 +71,7 @@
 #[test]
 fn no_more_hosts_are_down_at_once_than_the_plan_allows() {
     let mut owner = Owner::new(8);
-    owner.feed(Event::Plan(plan(&[0, 1, 2, 3, 4, 5, 6, 7], 6_000, 3)));
+    owner.feed(Event::Plan(new_plan(&[0, 1, 2, 3, 4, 5, 6, 7], 6_000, 3)));
     owner.advance(30_000);
     assert_eq!(owner.downs.len(), 8);
     for (at, _, _) in &owner.downs {
@@ -81,30 +84,30 @@
 #[test]
 fn a_plan_with_time_to_spare_takes_few_hosts_at_once() {
     let mut owner = Owner::new(4);
-    owner.feed(Event::Plan(plan(&[0, 1, 2, 3], 60_000, 4)));
+    owner.feed(Event::Plan(new_plan(&[0, 1, 2, 3], 60_000, 4)));
     owner.advance(1_000);
     assert_eq!(owner.downs.len(), 1);
 }
 
 #[test]
-fn no_more_tasks_of_a_step_are_away_than_it_may_miss() {
+fn no_more_tasks_of_a_step_are_unavailable_than_it_may_miss() {
     let mut owner = Owner::new(4);
-    owner.submit(1, spec(vec![long_running(6, 1)]));
+    owner.submit(1, spec(vec![long_running_step(6, 1)]));
     owner.advance(2_000);
-    assert_eq!(at_work(&owner, 1), 6);
-    owner.feed(Event::Plan(plan(&[0, 1, 2, 3], 8_000, 4)));
-    let mut least = 6;
+    assert_eq!(count_working(&owner, 1), 6);
+    owner.feed(Event::Plan(new_plan(&[0, 1, 2, 3], 8_000, 4)));
+    let mut min_working = 6;
     for _ in 0..30_000 {
         owner.advance(1);
-        least = least.min(at_work(&owner, 1));
+        min_working = min_working.min(count_working(&owner, 1));
     }
-    assert_eq!(least, 5, "one of the six may be away");
+    assert_eq!(min_working, 5, "one of the six may be unavailable");
     assert_eq!(owner.downs.len(), 4);
-    assert_eq!(at_work(&owner, 1), 6);
+    assert_eq!(count_working(&owner, 1), 6);
 }
 
 #[test]
-fn filling_tasks_are_stopped_and_resume_elsewhere() {
+fn best_effort_tasks_are_stopped_and_resume_elsewhere() {
     let mut owner = Owner::new(2);
     let long = Step {
         best_effort: true,
@@ -114,7 +117,7 @@
     };
     owner.submit(1, spec(vec![long]));
     owner.advance(2_000);
-    owner.feed(Event::Plan(plan(&[0, 1], 30_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0, 1], 30_000, 1)));
     owner.advance(14_000);
     assert_eq!(owner.state(1), Some(State::Completed));
     assert_eq!(owner.downs.len(), 2);
@@ -123,13 +126,13 @@
 }
 
 #[test]
-fn a_host_that_is_emptied_gets_no_starts() {
+fn no_task_starts_on_a_host_that_is_being_emptied() {
     let mut owner = Owner::new(2);
-    owner.submit(1, spec(vec![long_running(1, 1)]));
+    owner.submit(1, spec(vec![long_running_step(1, 1)]));
     owner.advance(500);
     let place = owner.places(1, 0)[0];
     owner.down_answers = vec![TakenDown::Busy; 20];
-    owner.feed(Event::Plan(plan(&[place], 20_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[place], 20_000, 1)));
     owner.advance(300);
     owner.submit(2, spec(vec![step(4)]));
     owner.advance(1_000);
@@ -137,75 +140,82 @@
     assert_eq!(owner.places(2, 0).len(), 4);
 }
 
-/// An order without an answer may have been done: it is sent again, and the
-/// host counts as down until then.
+/// An order without an answer may have been carried out: it is sent again, and the host counts
+/// as down until it is answered.
 #[test]
 fn an_order_without_an_answer_is_sent_again() {
     let mut owner = Owner::new(3);
     owner.down_answers = vec![TakenDown::Silent, TakenDown::Silent];
-    owner.feed(Event::Plan(plan(&[0, 1, 2], 3_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0, 1, 2], 3_000, 1)));
     owner.advance(1_600);
     let first = owner.downs[0].1.host.clone();
     let hosts: Vec<&String> = owner.downs.iter().map(|down| &down.1.host).collect();
     assert_eq!(hosts, [&first, &first, &first]);
     owner.advance(20_000);
-    assert!(records(&owner)[0].completed);
+    assert!(last_saved_records(&owner)[0].completed);
 }
 
 #[test]
-fn a_host_that_is_not_known_does_not_hold_the_plan_up() {
+fn an_unknown_host_does_not_block_the_plan() {
     let mut owner = Owner::new(2);
     owner.down_answers = vec![TakenDown::Unknown];
-    owner.feed(Event::Plan(plan(&[0, 1, 9], 10_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0, 1, 9], 10_000, 1)));
     owner.advance(10_000);
-    assert!(!records(&owner)[0].completed, "h9 may still come");
+    assert!(
+        !last_saved_records(&owner)[0].completed,
+        "h9 may still be added"
+    );
     owner.advance(15_000);
-    let record = &records(&owner)[0];
+    let record = &last_saved_records(&owner)[0];
     assert!(record.completed);
     assert_eq!(record.down.len(), 1);
 }
 
 #[test]
-fn a_later_owner_goes_on_where_the_earlier_one_stopped() {
-    let mut later = Owner::with(3, 2, true);
+fn a_successor_continues_the_plan_of_its_predecessor() {
+    let mut successor = Owner::with(3, 2, true);
     let record = Record {
         plan: 7,
         down: vec!["h1".to_owned()],
         completed: false,
     };
-    later.cell.resume_maintenance(vec![record]);
+    successor.cell.resume_maintenance(vec![record]);
     for place in 0..3 {
-        later.feed(Event::Listed(info(place)));
+        successor.feed(Event::Listed(info(place)));
     }
-    later.feed(Event::Plan(plan(&[0, 1, 2], 10_000, 3)));
-    later.advance(3_000);
-    assert_eq!(later.downs.len(), 0, "two owners don't take turns");
-    later.advance(15_000);
-    assert_eq!(taken_down(&later), ["h0", "h2"]);
-    assert!(records(&later)[0].completed);
+    successor.feed(Event::Plan(new_plan(&[0, 1, 2], 10_000, 3)));
+    successor.advance(3_000);
+    assert_eq!(
+        successor.downs.len(),
+        0,
+        "a successor waits until its predecessor has stopped ordering"
+    );
+    successor.advance(15_000);
+    assert_eq!(list_downed_hosts(&successor), ["h0", "h2"]);
+    assert!(last_saved_records(&successor)[0].completed);
 }
 
-/// A host whose new worker never answers must not hold back the others.
+/// A host whose new worker never answers must not block the others.
 #[test]
-fn a_host_that_does_not_come_back_does_not_hold_the_plan_up() {
+fn a_host_that_does_not_come_back_does_not_block_the_plan() {
     let mut owner = Owner::new(2);
-    owner.feed(Event::Plan(plan(&[0, 1], 10_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0, 1], 10_000, 1)));
     owner.advance(1_000);
     let first = owner.downs[0].1.host.clone();
     let place = owner
         .workers
         .iter()
         .position(|worker| worker.info.host == first);
-    owner.cut[place.expect("a worker of the host")] = true;
+    owner.cut[place.expect("the host has no worker")] = true;
     owner.advance(25_000);
-    assert_eq!(taken_down(&owner), ["h0", "h1"]);
+    assert_eq!(list_downed_hosts(&owner), ["h0", "h1"]);
 }
 
 #[test]
 fn a_refused_order_is_sent_again_after_a_pause() {
     let mut owner = Owner::new(1);
     owner.down_answers = vec![TakenDown::Busy; 40];
-    owner.feed(Event::Plan(plan(&[0], 10_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0], 10_000, 1)));
     owner.advance(3_000);
     let orders = owner.downs.len();
     assert!(
@@ -214,9 +224,9 @@
     );
 }
 
-/// The record of a plan that this owner was not told of yet is not lost.
+/// The record of a plan that this owner has not received yet is kept.
 #[test]
-fn records_of_plans_not_read_yet_are_kept() {
+fn records_of_plans_not_received_yet_are_kept() {
     let mut owner = Owner::new(1);
     let other = Record {
         plan: 3,
@@ -224,13 +234,17 @@
         completed: true,
     };
     owner.cell.resume_maintenance(vec![other.clone()]);
-    owner.feed(Event::Plan(plan(&[0], 10_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0], 10_000, 1)));
     owner.advance(200);
-    assert!(records(&owner).contains(&other), "{:?}", records(&owner));
+    assert!(
+        last_saved_records(&owner).contains(&other),
+        "{:?}",
+        last_saved_records(&owner)
+    );
 }
 
 #[test]
-fn a_completed_plan_is_not_done_again() {
+fn a_completed_plan_is_not_carried_out_again() {
     let mut owner = Owner::new(1);
     let record = Record {
         plan: 7,
@@ -238,28 +252,29 @@
         completed: true,
     };
     owner.cell.resume_maintenance(vec![record]);
-    owner.feed(Event::Plan(plan(&[0], 10_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0], 10_000, 1)));
     owner.advance(5_000);
     assert!(owner.downs.is_empty());
-    assert!(records(&owner)[0].completed);
+    assert!(last_saved_records(&owner)[0].completed);
 }
 
 #[test]
 fn a_later_fence_ends_the_ownership() {
     let mut owner = Owner::new(1);
     owner.down_answers = vec![TakenDown::Fenced];
-    owner.feed(Event::Plan(plan(&[0], 10_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0], 10_000, 1)));
     owner.advance(2_000);
     assert!(owner.deposed);
 }
 
-/// Two tasks of a step are on the host, and what is moved off it finds room nowhere
-/// else: the second must not wait for the first, which waits for the host.
+/// Guards against a deadlock: two tasks of a step are on the host, and the one that is moved off
+/// it fits nowhere else. The second can't be moved before the first runs again, and the first
+/// waits for the host.
 #[test]
-fn a_host_that_can_not_be_emptied_takes_tasks_again() {
+fn a_host_that_cannot_be_emptied_accepts_tasks_again() {
     let mut owner = Owner::new(2);
     for (job, count, milli_cores) in [(1, 1, 8_000), (2, 2, 3_000)] {
-        let mut wide = long_running(count, 1);
+        let mut wide = long_running_step(count, 1);
         wide.size.milli_cores = milli_cores;
         let behaviour = Behaviour {
             size: wide.size,
@@ -271,45 +286,49 @@
         owner.advance(1_000);
     }
     let host = owner.places(2, 0)[0];
-    owner.feed(Event::Plan(plan(&[host], 10_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[host], 10_000, 1)));
     owner.advance(2_000);
-    assert_eq!(at_work(&owner, 2), 1, "one was moved off");
+    assert_eq!(
+        count_working(&owner, 2),
+        1,
+        "the other was moved off the host"
+    );
     owner.advance(9_000);
-    assert_eq!(at_work(&owner, 2), 2, "both work again");
+    assert_eq!(count_working(&owner, 2), 2, "both are at work again");
 }
 
-/// A later owner orders hosts down 3.5 s after its take-over, and the orders of
-/// two owners must not take turns.
+/// A successor starts to order hosts down 3.5 s after its take-over, so an owner without the
+/// store stops earlier: the orders of two owners must not interleave.
 #[test]
-fn without_the_store_the_last_order_comes_before_a_later_owners_first() {
+fn an_owner_without_the_store_stops_ordering_before_its_successor_starts() {
     let mut owner = Owner::new(1);
     owner.down_answers = vec![TakenDown::Busy; 40];
-    owner.feed(Event::Plan(plan(&[0], 10_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[0], 10_000, 1)));
     owner.advance(1_000);
     owner.store = false;
     let lost_at = owner.now_ms;
     owner.advance(6_000);
-    let last_at = owner.downs.last().expect("an order").0;
+    let last_at = owner.downs.last().expect("no host was ordered down").0;
     assert!(last_at < lost_at + 3_000, "{} ms after", last_at - lost_at);
     owner.store = true;
     owner.advance(1_000);
-    assert!(owner.downs.last().expect("an order").0 > lost_at + 6_000);
+    assert!(owner.downs.last().expect("no host was ordered down").0 > lost_at + 6_000);
 }
 
-/// Whether the tasks of a silent worker work is not known, so they may be away.
+/// The tasks of a silent worker may not be running, so they count as unavailable.
 #[test]
-fn tasks_of_a_silent_worker_count_as_away() {
+fn tasks_of_a_silent_worker_count_as_unavailable() {
     let mut owner = Owner::new(3);
     let one_each = Step {
         most_per_worker: Some(1),
-        ..long_running(2, 1)
+        ..long_running_step(2, 1)
     };
     owner.submit(1, spec(vec![one_each]));
     owner.advance(1_000);
     let places = owner.places(1, 0);
     owner.cut[places[1]] = true;
     owner.advance(1_000);
-    owner.feed(Event::Plan(plan(&[places[0]], 3_000, 1)));
+    owner.feed(Event::Plan(new_plan(&[places[0]], 3_000, 1)));
     owner.advance(2_000);
-    assert_eq!(owner.places(1, 0), places, "one may be away already");
+    assert_eq!(owner.places(1, 0), places, "one may be unavailable already");
 }
