--- a/crates/stackpier-cell/tests/large_short.rs
+++ b/crates/stackpier-cell/tests/large_short.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Large short jobs in a full cell: tasks that last take all room and more of them wait, and
-//! short jobs come steadily, one in ten of them several times larger than the others.
+//! Large short jobs in a full cell: long-running tasks take all capacity and more of them wait,
+//! while short jobs arrive steadily, one in ten of them several times larger than the others.
 
 mod common;
 
@@ -12,38 +12,40 @@
 use stackpier_state::job::{State, Step};
 
 const WORKERS: usize = 40;
-/// SERVICES is the number of jobs whose tasks last, and WAITING how many more have no room.
+/// SERVICES is the number of long-running jobs that fill the cell, and WAITING the number of
+/// those that fit nowhere.
 const SERVICES: u64 = 10;
 const WAITING: u64 = 3;
-/// TASKS is the number of tasks of each of them: ten jobs fill the cell, four tasks to a
-/// worker.
+/// TASKS is the number of tasks of each long-running job: ten jobs fill the cell with four tasks
+/// on each worker.
 const TASKS: u32 = 16;
-/// LONG_RUNNING_MILLI is what each of these tasks asks for, in thousandths of a core.
+/// LONG_RUNNING_MILLI is the request of each of these tasks, in thousandths of a core.
 const LONG_RUNNING_MILLI: u32 = 2_000;
 /// SHORT is the first of the short jobs.
 const SHORT: u64 = 100;
-/// JOBS is their number.
+/// JOBS is the number of short jobs.
 const JOBS: u64 = 200;
-/// LARGE is that one in so many of them is large.
+/// LARGE is the number of short jobs per large one.
 const LARGE: u64 = 10;
-/// JOBS_MS is the time between two short jobs.
-const JOBS_MS: u64 = 125;
-/// OBJECTIVES is how many objectives after its arrival a job is still of use.
+/// JOB_INTERVAL_MS is the time between two short jobs.
+const JOB_INTERVAL_MS: u64 = 125;
+/// OBJECTIVES is the number of objectives after its arrival at which a job expires.
 const OBJECTIVES: u64 = 3;
 
-fn short(milli_cores: u32, count: u32, estimate_ms: u32) -> Step {
+fn short_step(milli_cores: u32, count: u32, estimate_ms: u32) -> Step {
     Step {
         estimate_ms,
         ..sized(milli_cores, count)
     }
 }
 
-fn long_running(owner: &mut Owner, job: u64) {
+fn submit_long_running_job(owner: &mut Owner, job: u64) {
     owner.submit_long_running(job, sized(LONG_RUNNING_MILLI, TASKS));
 }
 
-/// full starts a cell whose workers are all taken by tasks that last, while more wait.
-fn full() -> Owner {
+/// start_full_cell starts a cell whose workers are all taken by long-running tasks, while more
+/// wait.
+fn start_full_cell() -> Owner {
     let options = Options {
         max_lease_ms: 6_000,
         ..Options::default()
@@ -55,11 +57,11 @@
     }
     owner.advance(100);
     for job in 1..=SERVICES {
-        long_running(&mut owner, job);
+        submit_long_running_job(&mut owner, job);
     }
     owner.advance(1_000);
     for job in SERVICES + 1..=SERVICES + WAITING {
-        long_running(&mut owner, job);
+        submit_long_running_job(&mut owner, job);
     }
     owner.advance(4_000);
     owner
@@ -69,22 +71,22 @@
     job.is_multiple_of(LARGE)
 }
 
-/// shape returns the only step of a short job.
-fn shape(job: u64) -> Step {
+/// build_step returns the only step of a short job.
+fn build_step(job: u64) -> Step {
     if is_large(job) {
-        short(4_000, 6, 600)
+        short_step(4_000, 6, 600)
     } else {
-        short(1_500, 1, 500)
+        short_step(1_500, 1, 500)
     }
 }
 
-/// objective_ms returns how long after its arrival a short job should be done, by its queue.
+/// objective_ms returns the time from a short job's arrival to its objective, by its queue.
 fn objective_ms(job: u64) -> u64 {
     let queue = queue(QUEUE, 0);
-    (f64::from(shape(job).estimate_ms) * queue.stretch) as u64 + queue.target_ms
+    (f64::from(build_step(job).estimate_ms) * queue.stretch) as u64 + queue.target_ms
 }
 
-/// Tally counts jobs, and those that were done while they were of use.
+/// Tally counts jobs, and those of them that were completed before they expired.
 #[derive(Debug, Default)]
 struct Tally {
     jobs: usize,
@@ -102,54 +104,56 @@
     }
 }
 
-/// serve hands short jobs in steadily, and counts them all and the large ones.
-fn serve(owner: &mut Owner) -> (Tally, Tally) {
+/// run_short_jobs submits short jobs steadily, and returns the tallies of all of them and of the
+/// large ones.
+fn run_short_jobs(owner: &mut Owner) -> (Tally, Tally) {
     let mut open: BTreeMap<u64, u64> = BTreeMap::new();
     let (mut all, mut large) = (Tally::default(), Tally::default());
     for job in SHORT.. {
         if job < SHORT + JOBS {
-            owner.submit(job, spec(vec![shape(job)]));
+            owner.submit(job, spec(vec![build_step(job)]));
             open.insert(job, owner.now_ms + OBJECTIVES * objective_ms(job));
         } else if open.is_empty() {
             break;
         }
-        owner.advance(JOBS_MS);
-        open.retain(|job, end_ms| {
+        owner.advance(JOB_INTERVAL_MS);
+        open.retain(|job, expiry_ms| {
             let done = owner.state(*job) == Some(State::Completed);
-            let over = done || owner.now_ms >= *end_ms;
-            if over {
+            let closed = done || owner.now_ms >= *expiry_ms;
+            if closed {
                 all.add(done);
                 if is_large(*job) {
                     large.add(done);
                 }
             }
-            !over
+            !closed
         });
     }
     (all, large)
 }
 
-/// By the users' rules the largest tenth of the jobs of a class is served at least half as
-/// often as the class. All short jobs together ask for half of what may be dedicated to them.
+/// Client accounts require that the largest tenth of the jobs of a class is served at least half
+/// as often as the class. All short jobs together request half of the capacity that may be
+/// dedicated to them.
 #[rstest]
 fn large_short_jobs_are_served_half_as_often_as_all() {
-    let mut owner = full();
-    let (all, large) = serve(&mut owner);
+    let mut owner = start_full_cell();
+    let (all, large) = run_short_jobs(&mut owner);
     assert!(
         all.share() >= 0.5 && large.share() >= all.share() / 2.0,
         "large {large:?}, all {all:?}"
     );
 }
 
-/// A dedicated worker that is no choice for tasks that last is one for short tasks, be they
-/// smaller or larger than those.
+/// A dedicated worker rejects long-running tasks; short tasks start on it whether they are smaller
+/// or larger than those.
 #[rstest]
 #[case::smaller(LONG_RUNNING_MILLI / 2)]
 #[case::as_large(LONG_RUNNING_MILLI)]
 #[case::larger(2 * LONG_RUNNING_MILLI)]
 fn short_tasks_of_any_size_start_on_dedicated_workers(#[case] milli_cores: u32) {
-    let mut owner = full();
-    owner.submit(SHORT, spec(vec![short(milli_cores, 10, 600)]));
+    let mut owner = start_full_cell();
+    owner.submit(SHORT, spec(vec![short_step(milli_cores, 10, 600)]));
     owner.advance(OBJECTIVES * objective_ms(SHORT));
     assert_eq!(owner.state(SHORT), Some(State::Completed));
 }
--- a/crates/stackpier-cell/tests/order.rs
+++ b/crates/stackpier-cell/tests/order.rs
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Which waiting job goes first once there is too much to do for all. On a customer's
-//! heaviest days up to 1,900 filling tasks waited at a time, for up to 20 s; what was
-//! late went by its age, so that the workers were busy with jobs that earned nothing
-//! any more while others turned worthless behind them.
+//! The order of waiting jobs under overload.
+//!
+//! Guards against workers that are busy with expired jobs while others expire behind them: with
+//! up to 1,900 best-effort tasks waiting at a time, for up to 20 s, jobs that missed their
+//! deadlines were ordered by age.
 
 mod common;
 
@@ -12,19 +13,19 @@
 use stackpier_core::{Size, key};
 use stackpier_state::job::{Record, Step};
 
-/// FIRST is the job that takes the only worker at first.
+/// FIRST is the job that occupies the only worker at first.
 const FIRST: u64 = 1;
-/// LATE_MS is the age of a job that can't be in time any more: its objective is 2.5 s.
+/// LATE_MS is the age of a job that can't meet its objective of 2.5 s any more.
 const LATE_MS: u64 = 4_000;
-/// LATER_MS is the age of one that is later still.
+/// LATER_MS is the age of a job that misses it by more.
 const LATER_MS: u64 = 4_500;
-/// HOPELESS_MS is the age of one that is of no use: three objectives are over.
-const HOPELESS_MS: u64 = 9_000;
-/// LONG_MS is the time in which all of them run.
-const LONG_MS: u64 = 8_000;
+/// EXPIRED_MS is the age of a job that has expired: three objectives have passed.
+const EXPIRED_MS: u64 = 9_000;
+/// RUN_ALL_MS is the time in which all jobs of a test run.
+const RUN_ALL_MS: u64 = 8_000;
 
-/// wide returns tasks that take a whole worker for a second.
-fn wide(count: u32) -> Step {
+/// whole_worker_step returns tasks that each take a whole worker for a second.
+fn whole_worker_step(count: u32) -> Step {
     Step {
         size: Size {
             milli_cores: 8_000,
@@ -35,22 +36,22 @@
     }
 }
 
-/// owner starts a cell with one worker, which runs the first job.
-fn owner() -> Owner {
+/// start_owner starts a cell with one worker, which runs the first job.
+fn start_owner() -> Owner {
     let mut owner = Owner::new(1);
     owner.now_ms += 20_000;
     owner.feed(Event::Confirmed(owner.now().mono));
     owner.advance(200);
-    owner.submit(FIRST, spec(vec![wide(1)]));
+    owner.submit(FIRST, spec(vec![whole_worker_step(1)]));
     owner.advance(100);
     owner
 }
 
-/// submit hands a job in that was accepted some time ago.
-fn submit(owner: &mut Owner, job: u64, tasks: u32, age_ms: u64) {
+/// submit_aged_job submits a job that was accepted some time ago.
+fn submit_aged_job(owner: &mut Owner, job: u64, tasks: u32, age_ms: u64) {
     let record = Record {
         queue: queue(QUEUE, 0),
-        spec: spec(vec![wide(tasks)]),
+        spec: spec(vec![whole_worker_step(tasks)]),
         fence: 1,
         accepted_ms: UNIX + owner.now_ms - age_ms,
     };
@@ -63,26 +64,26 @@
     });
 }
 
-/// order returns the jobs in the order in which their tasks started.
-fn order(owner: &mut Owner) -> Vec<u64> {
-    owner.advance(LONG_MS);
+/// run_all returns the jobs in the order in which their tasks started.
+fn run_all(owner: &mut Owner) -> Vec<u64> {
+    owner.advance(RUN_ALL_MS);
     let jobs = owner.starts.iter().map(|(start, _)| start.order.task.job.0);
     jobs.filter(|job| *job != FIRST).collect()
 }
 
 #[rstest]
-fn what_is_of_no_use_any_more_goes_after_what_is_late() {
-    let mut owner = owner();
-    submit(&mut owner, 2, 1, HOPELESS_MS);
-    submit(&mut owner, 3, 1, LATE_MS);
-    submit(&mut owner, 4, 1, 0);
-    assert_eq!(order(&mut owner), [4, 3, 2]);
+fn expired_jobs_go_after_late_ones() {
+    let mut owner = start_owner();
+    submit_aged_job(&mut owner, 2, 1, EXPIRED_MS);
+    submit_aged_job(&mut owner, 3, 1, LATE_MS);
+    submit_aged_job(&mut owner, 4, 1, 0);
+    assert_eq!(run_all(&mut owner), [4, 3, 2]);
 }
 
 #[rstest]
 fn of_late_jobs_those_with_the_fewest_tasks_left_go_first() {
-    let mut owner = owner();
-    submit(&mut owner, 2, 3, LATER_MS);
-    submit(&mut owner, 3, 1, LATE_MS);
-    assert_eq!(order(&mut owner), [3, 2, 2, 2]);
+    let mut owner = start_owner();
+    submit_aged_job(&mut owner, 2, 3, LATER_MS);
+    submit_aged_job(&mut owner, 3, 1, LATE_MS);
+    assert_eq!(run_all(&mut owner), [3, 2, 2, 2]);
 }
--- a/crates/stackpier-cell/tests/rotation.rs
+++ b/crates/stackpier-cell/tests/rotation.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Tasks that last and take turns, where there is not room for all of them: users count one as
-//! lost if it is away for nine seconds while there was room, wherever that came and went.
+//! Long-running tasks that get time slices because not all of them fit at once. Client accounts
+//! count one as lost if it has not run for nine seconds while there was capacity, also if that
+//! was on different workers over time.
 
 mod common;
 
@@ -11,14 +12,14 @@
 use stackpier_standin::fleet::Behaviour;
 use stackpier_state::job::Step;
 
-/// FIRST fills all workers with one task each, and SECOND finds no room.
+/// FIRST fills all workers with one task each, and SECOND fits nowhere.
 const FIRST: u64 = 1;
 const SECOND: u64 = 2;
 const WORKERS: usize = 4;
-/// AWAY_MS is for how long a task may be away.
-const AWAY_MS: u64 = 9_000;
+/// MAX_STOPPED_MS is the longest time for which a task may be stopped.
+const MAX_STOPPED_MS: u64 = 9_000;
 
-fn long_running(may_miss: Option<u32>) -> Step {
+fn long_running_step(may_miss: Option<u32>) -> Step {
     Step {
         long_running: true,
         may_miss,
@@ -31,7 +32,7 @@
     }
 }
 
-fn last(owner: &mut Owner, job: u64, shape: Step) {
+fn submit_long_running_job(owner: &mut Owner, job: u64, shape: Step) {
     let size = Size {
         milli_cores: if shape.best_effort {
             0
@@ -49,8 +50,8 @@
     owner.submit(job, spec(vec![shape]));
 }
 
-/// full starts a cell whose workers are all taken by the tasks of one job.
-fn full(may_miss: Option<u32>, without: Option<Mechanism>) -> Owner {
+/// start_full_cell starts a cell whose workers are all taken by the tasks of one job.
+fn start_full_cell(may_miss: Option<u32>, without: Option<Mechanism>) -> Owner {
     let options = Options {
         max_lease_ms: 6_000,
         without: without.into_iter().collect(),
@@ -63,40 +64,40 @@
     owner.advance(100);
     let first = Step {
         count: WORKERS as u32,
-        ..long_running(may_miss)
+        ..long_running_step(may_miss)
     };
-    last(&mut owner, FIRST, first);
+    submit_long_running_job(&mut owner, FIRST, first);
     owner.advance(1_000);
     assert_eq!(owner.places(FIRST, 0).len(), WORKERS);
     owner
 }
 
-/// turns returns how many tasks of the first job were stopped and started again.
-fn turns(owner: &Owner) -> usize {
+/// count_restarts returns how often tasks of the first job were stopped and started again.
+fn count_restarts(owner: &Owner) -> usize {
     owner.places(FIRST, 0).len() - WORKERS
 }
 
 #[rstest]
-#[case::with_turns(None, 1)]
-#[case::without(Some(Mechanism::Rotation), 0)]
-fn a_task_that_finds_no_room_gets_its_turn(
+#[case::with_rotation(None, 1)]
+#[case::without_rotation(Some(Mechanism::Rotation), 0)]
+fn a_task_that_fits_nowhere_gets_a_time_slice(
     #[case] without: Option<Mechanism>,
     #[case] starts: usize,
 ) {
-    let mut owner = full(Some(1), without);
-    last(&mut owner, SECOND, long_running(None));
-    owner.advance(AWAY_MS);
+    let mut owner = start_full_cell(Some(1), without);
+    submit_long_running_job(&mut owner, SECOND, long_running_step(None));
+    owner.advance(MAX_STOPPED_MS);
     assert_eq!(owner.places(SECOND, 0).len(), starts);
 }
 
-/// One place too few: each of the five tasks is away in its turn, none for long.
+/// With one worker too few, each of the five tasks is stopped at times, and none for long.
 #[rstest]
-fn no_task_is_away_for_long_while_all_take_turns() {
-    let mut owner = full(Some(1), None);
-    last(&mut owner, SECOND, long_running(None));
+fn no_task_is_stopped_for_long_while_time_slices_rotate() {
+    let mut owner = start_full_cell(Some(1), None);
+    submit_long_running_job(&mut owner, SECOND, long_running_step(None));
     for _ in 0..6 {
         let before = owner.starts.len();
-        owner.advance(AWAY_MS);
+        owner.advance(MAX_STOPPED_MS);
         assert!(owner.starts.len() > before, "{} starts", owner.starts.len());
     }
     let again = (0..WORKERS as u32).filter(|index| owner.starts_of(name(FIRST, 0, *index)) > 1);
@@ -104,28 +105,29 @@
 }
 
 #[rstest]
-fn a_step_that_can_miss_no_task_gives_no_place() {
-    let mut owner = full(Some(0), None);
-    last(&mut owner, SECOND, long_running(None));
-    owner.advance(3 * AWAY_MS);
+fn a_step_that_may_miss_no_task_is_not_rotated() {
+    let mut owner = start_full_cell(Some(0), None);
+    submit_long_running_job(&mut owner, SECOND, long_running_step(None));
+    owner.advance(3 * MAX_STOPPED_MS);
     assert_eq!(owner.places(SECOND, 0).len(), 0);
-    assert_eq!(turns(&owner), 0);
+    assert_eq!(count_restarts(&owner), 0);
 }
 
-/// Tasks that fill wait for harm, unused processors or memory: another one's place is no use.
+/// Best-effort tasks wait because of harm, unused processors or memory, so stopping another task
+/// does not let them start.
 #[rstest]
-fn nothing_is_stopped_for_tasks_that_last_and_fill() {
-    let mut owner = full(Some(1), None);
+fn no_task_is_stopped_for_a_long_running_best_effort_task() {
+    let mut owner = start_full_cell(Some(1), None);
     let best_effort = Step {
         best_effort: true,
         image: "fills".to_owned(),
         size: Size {
             memory_mib: 63_500,
-            ..long_running(None).size
+            ..long_running_step(None).size
         },
-        ..long_running(None)
+        ..long_running_step(None)
     };
-    last(&mut owner, SECOND, best_effort);
-    owner.advance(3 * AWAY_MS);
-    assert_eq!(turns(&owner), 0);
+    submit_long_running_job(&mut owner, SECOND, best_effort);
+    owner.advance(3 * MAX_STOPPED_MS);
+    assert_eq!(count_restarts(&owner), 0);
 }
