--- a/crates/stackpier-cell/tests/short.rs
+++ b/crates/stackpier-cell/tests/short_task_memory.rs
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Memory is kept free of filling tasks for short ones: as much as these ask for on the
-//! mean, as far as the cell has seen them. A fixed amount, found on two customers, was
-//! too much for workers half as large.
+//! Memory that best-effort tasks leave free for short ones: the mean request of the short tasks
+//! that the cell has seen. A fixed amount was too much for workers half as large.
 
 mod common;
 
@@ -10,9 +9,9 @@
 use stackpier_core::Size;
 use stackpier_state::job::Step;
 
-/// SHORT and FILLING are two jobs.
+/// SHORT and BEST_EFFORT are two jobs.
 const SHORT: u64 = 1;
-const FILLING: u64 = 2;
+const BEST_EFFORT: u64 = 2;
 
 fn sized(memory_mib: u32) -> Step {
     Step {
@@ -25,9 +24,9 @@
     }
 }
 
-/// filled returns how many of two filling tasks, of 30,000 MiB each, start at once on a
-/// worker of 64,000 MiB after a short task of some MiB was seen there.
-fn filled(short_mib: u32) -> usize {
+/// count_started returns how many of two best-effort tasks, of 30,000 MiB each, start at once on
+/// a worker of 64,000 MiB after a short task of some MiB has run there.
+fn count_started(short_mib: u32) -> usize {
     let mut owner = Owner::new(1);
     owner.submit(SHORT, spec(vec![sized(short_mib)]));
     owner.advance(2_000);
@@ -37,14 +36,14 @@
         image: "fills".to_owned(),
         ..sized(30_000)
     };
-    owner.submit(FILLING, spec(vec![best_effort]));
+    owner.submit(BEST_EFFORT, spec(vec![best_effort]));
     owner.advance(300);
-    owner.places(FILLING, 0).len()
+    owner.places(BEST_EFFORT, 0).len()
 }
 
 #[rstest]
 #[case::small(1_000, 2)]
 #[case::large(10_000, 1)]
-fn as_much_is_kept_free_as_short_tasks_ask_for(#[case] short_mib: u32, #[case] both: usize) {
-    assert_eq!(filled(short_mib), both);
+fn free_memory_follows_the_requests_of_short_tasks(#[case] short_mib: u32, #[case] started: usize) {
+    assert_eq!(count_started(short_mib), started);
 }
--- a/crates/stackpier-cell/tests/waiting.rs
+++ b/crates/stackpier-cell/tests/waiting.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Tasks that wait because of their size, of the order among waiting steps, or of what
-//! other tasks of their step do.
+//! Tasks that wait because of their size, because of the order among waiting steps, or because
+//! of other tasks of their step.
 
 mod common;
 
@@ -17,9 +17,9 @@
 const FIRST: u64 = 1;
 const SECOND: u64 = 2;
 const THIRD: u64 = 3;
-/// STREAM is the first of the jobs that keep coming.
+/// STREAM is the first of the jobs that arrive steadily.
 const STREAM: u64 = 1_000;
-/// LOADED_WAIT_MS is by when a step with nothing running has its turn on a busy service.
+/// LOADED_WAIT_MS is the time within which a step with nothing running starts on a busy service.
 const LOADED_WAIT_MS: u64 = 25_000;
 
 fn sized(count: u32, milli_cores: u32, memory_mib: u32) -> Step {
@@ -33,7 +33,7 @@
     }
 }
 
-fn filling(count: u32, milli_cores: u32, memory_mib: u32, image: &str) -> Step {
+fn best_effort_step(count: u32, milli_cores: u32, memory_mib: u32, image: &str) -> Step {
     Step {
         best_effort: true,
         checkpointing: true,
@@ -42,8 +42,9 @@
     }
 }
 
-/// last hands a job of tasks that last in; with `fails_ms` each run fails after that time.
-fn last(owner: &mut Owner, job: u64, shape: Step, fails_ms: Option<u64>) {
+/// submit_long_running_job submits a job of long-running tasks; with `fails_ms` each run fails
+/// after that time.
+fn submit_long_running_job(owner: &mut Owner, job: u64, shape: Step, fails_ms: Option<u64>) {
     let behaviour = Behaviour {
         work_ms: fails_ms.unwrap_or(0),
         fails: fails_ms.is_some(),
@@ -72,7 +73,7 @@
     owner.submit(job, spec(vec![shape]));
 }
 
-fn serving(count: u32, milli_cores: u32) -> Step {
+fn serving_step(count: u32, milli_cores: u32) -> Step {
     Step {
         target_ms: 20,
         image: "serving".to_owned(),
@@ -80,8 +81,9 @@
     }
 }
 
-/// presses tells the owner by how much each filling image disturbs the serving one.
-fn presses(owner: &mut Owner, images: &[(String, f32)]) {
+/// set_interference gives the owner a model of how much each best-effort image disturbs the
+/// serving one.
+fn set_interference(owner: &mut Owner, images: &[(String, f32)]) {
     let pair = |(image, mean): &(String, f32)| {
         let term = SavedEstimate {
             mean: *mean,
@@ -98,30 +100,30 @@
     });
 }
 
-/// stream hands jobs of one task in, one every so often, for some time.
-fn stream(owner: &mut Owner, shape: &Step, gap_ms: u64, ms: u64) {
-    for number in 0..ms / gap_ms {
+/// submit_stream submits jobs of one task at a fixed interval for some time.
+fn submit_stream(owner: &mut Owner, shape: &Step, interval_ms: u64, ms: u64) {
+    for number in 0..ms / interval_ms {
         let job = STREAM + owner.now_ms + number;
         owner.submit(job, spec(vec![shape.clone()]));
-        owner.advance(gap_ms);
+        owner.advance(interval_ms);
     }
 }
 
-/// assert_started fails with what keeps a job from starting.
+/// assert_started fails with the obstacles of a job unless that has started.
 fn assert_started(owner: &mut Owner, job: u64) {
     let why = owner.cell.explain(key::Job(job));
     assert!(!owner.places(job, 0).is_empty(), "{why:?}");
 }
 
-/// Guards against a task that lasts losing its turn, as another of its step ended: the room
-/// that this one left goes to narrow tasks, though the first has waited for long.
+/// Guards against a long-running task that loses its rank because another of its step ends: the
+/// capacity that this one releases goes to narrow tasks, though the first has waited for long.
 #[test]
-fn a_task_that_lasts_keeps_its_turn_when_another_of_its_step_ends() {
+fn a_long_running_task_keeps_its_rank_when_another_of_its_step_ends() {
     let mut owner = Owner::new(1);
-    last(&mut owner, FIRST, sized(2, 6_000, 1_000), Some(5_500));
+    submit_long_running_job(&mut owner, FIRST, sized(2, 6_000, 1_000), Some(5_500));
     owner.advance(5_000);
-    assert_eq!(owner.places(FIRST, 0).len(), 1, "there is room for one");
-    // These are in time yet, as some always are.
+    assert_eq!(owner.places(FIRST, 0).len(), 1, "one of them fits");
+    // These can still meet their deadlines, as some jobs always can.
     for job in 100..102 {
         owner.submit(job, spec(vec![step(8)]));
     }
@@ -130,10 +132,10 @@
     assert_eq!(owner.places(FIRST, 0).len(), 2, "{why:?}");
 }
 
-/// Guards against a task that lasts being passed over: room goes to the step that was
-/// accepted first, though another one has waited for longer.
+/// Guards against free capacity that goes to the long-running step that was accepted first,
+/// though another one has waited for longer.
 #[test]
-fn of_tasks_that_last_the_longest_waiting_goes_first() {
+fn of_long_running_tasks_the_longest_waiting_goes_first() {
     let options = Options {
         without: [Mechanism::Rotation].into_iter().collect(),
         ..Options::default()
@@ -143,53 +145,53 @@
         owner.feed(Event::Listed(info(place)));
     }
     owner.advance(100);
-    last(&mut owner, FIRST, sized(1, 6_000, 1_000), None);
+    submit_long_running_job(&mut owner, FIRST, sized(1, 6_000, 1_000), None);
     owner.advance(500);
-    last(&mut owner, THIRD, sized(1, 6_000, 1_000), None);
+    submit_long_running_job(&mut owner, THIRD, sized(1, 6_000, 1_000), None);
     owner.advance(500);
-    last(&mut owner, SECOND, sized(1, 6_000, 1_000), None);
+    submit_long_running_job(&mut owner, SECOND, sized(1, 6_000, 1_000), None);
     owner.advance(5_000);
-    let gone = owner.places(FIRST, 0)[0];
-    owner.cut[gone] = true;
-    owner.feed(Event::Unlisted(format!("w{gone}")));
+    let removed = owner.places(FIRST, 0)[0];
+    owner.cut[removed] = true;
+    owner.feed(Event::Unlisted(format!("w{removed}")));
     owner.advance(15_000);
     let why = owner.cell.explain(key::Job(FIRST));
-    assert_eq!(owner.places(FIRST, 0).len(), 1, "it waits: {why:?}");
+    assert_eq!(owner.places(FIRST, 0).len(), 1, "it does not wait: {why:?}");
     owner.feed(Event::Cancelled(key::Job(THIRD)));
     owner.advance(1_000);
     assert_started(&mut owner, SECOND);
 }
 
-/// Guards against a wide task that never starts beside a stream of narrow short ones, which
-/// share out what comes free.
+/// Guards against a wide task that never starts beside a stream of narrow short ones, which take
+/// all capacity as it becomes free.
 #[rstest]
 #[case::short(false)]
 #[case::long_running(true)]
-fn a_wide_task_has_its_turn_beside_a_stream_of_narrow_ones(#[case] lasts: bool) {
+fn a_wide_task_starts_beside_a_stream_of_narrow_ones(#[case] is_long_running: bool) {
     let mut owner = Owner::new(1);
-    stream(&mut owner, &step(1), 100, 3_000);
+    submit_stream(&mut owner, &step(1), 100, 3_000);
     let wide = sized(1, 7_000, 1_000);
-    if lasts {
-        last(&mut owner, FIRST, wide, None);
+    if is_long_running {
+        submit_long_running_job(&mut owner, FIRST, wide, None);
     } else {
         owner.submit(FIRST, spec(vec![wide]));
     }
-    stream(&mut owner, &step(1), 100, LOADED_WAIT_MS);
+    submit_stream(&mut owner, &step(1), 100, LOADED_WAIT_MS);
     assert_started(&mut owner, FIRST);
 }
 
-/// Guards against short tasks kept from free workers that are dedicated to them, as a task
-/// that lasts asked for as much or less before them and may not have that room: only short
-/// tasks that are narrower than each such task get it.
+/// Guards against short tasks that don't start on free workers dedicated to them. A long-running
+/// task that requests as much or less is tried before them and may not use these workers; its
+/// failure must not rule out all tasks that are as wide.
 #[rstest]
 #[case::as_wide(4_000)]
 #[case::wider(6_000)]
-fn wide_short_tasks_get_the_room_dedicated_to_them(#[case] milli_cores: u32) {
+fn wide_short_tasks_start_on_workers_dedicated_to_them(#[case] milli_cores: u32) {
     const WORKERS: usize = 10;
     let mut owner = Owner::new(WORKERS);
-    last(&mut owner, FIRST, sized(20, 4_000, 1_000), None);
+    submit_long_running_job(&mut owner, FIRST, sized(20, 4_000, 1_000), None);
     owner.advance(1_000);
-    last(&mut owner, SECOND, sized(4, 4_000, 1_000), None);
+    submit_long_running_job(&mut owner, SECOND, sized(4, 4_000, 1_000), None);
     owner.advance(6_000);
     for job in STREAM..STREAM + 24 {
         owner.submit(job, spec(vec![sized(2, milli_cores, 1_000)]));
@@ -203,69 +205,69 @@
     assert!(short.count() >= 2, "{why:?}");
 }
 
-/// Guards against tasks that last and fill waiting without an end for expected harm, as one
-/// of their step fails again and again.
+/// Guards against long-running best-effort tasks that wait indefinitely because of expected harm
+/// while one of their step fails again and again.
 #[test]
-fn tasks_that_last_and_fill_starve_though_others_of_their_step_end() {
+fn long_running_best_effort_tasks_count_as_starving_though_others_of_their_step_end() {
     let mut owner = Owner::new(3);
     owner.feed(Event::Queues(vec![Queue {
         attempts: 1_000,
         ..queue(QUEUE, 0)
     }]));
-    presses(&mut owner, &[("filling".to_owned(), 0.5)]);
-    last(&mut owner, FIRST, serving(2, 5_000), None);
+    set_interference(&mut owner, &[("filling".to_owned(), 0.5)]);
+    submit_long_running_job(&mut owner, FIRST, serving_step(2, 5_000), None);
     owner.advance(3_000);
-    let mut serves = owner.places(FIRST, 0);
-    serves.sort_unstable();
-    assert_eq!(serves.len(), 2);
-    let both = filling(8, 2_000, 40_000, "filling");
-    last(&mut owner, SECOND, both, Some(1_500));
+    let mut serving_places = owner.places(FIRST, 0);
+    serving_places.sort_unstable();
+    assert_eq!(serving_places.len(), 2);
+    let long_running_best_effort = best_effort_step(8, 2_000, 40_000, "filling");
+    submit_long_running_job(&mut owner, SECOND, long_running_best_effort, Some(1_500));
     owner.advance(20_000);
     let places = owner.places(SECOND, 0);
     let why = owner.cell.explain(key::Job(SECOND));
-    for place in serves {
+    for place in serving_places {
         assert!(places.contains(&place), "{place} of {places:?}: {why:?}");
     }
 }
 
-/// Guards against a wide filling step that never starts beside a stream of narrow ones: a
-/// worker on which these were given a little more than there is counts as busy, also for a
-/// step that starves.
+/// Guards against a wide best-effort step that never starts beside a stream of narrow ones: a
+/// worker on which these request slightly more than its capacity counts as busy, even for a
+/// starving step.
 #[test]
-fn a_wide_filling_step_that_starves_is_not_kept_from_busy_workers() {
+fn a_starving_wide_best_effort_step_starts_on_a_busy_worker() {
     let mut owner = Owner::new(1);
-    let narrow = filling(1, 1_650, 1_000, "narrow");
-    stream(&mut owner, &narrow, 100, 3_000);
-    owner.submit(FIRST, spec(vec![filling(8, 6_550, 5_712, "wide")]));
-    stream(&mut owner, &narrow, 100, LOADED_WAIT_MS);
+    let narrow = best_effort_step(1, 1_650, 1_000, "narrow");
+    submit_stream(&mut owner, &narrow, 100, 3_000);
+    owner.submit(FIRST, spec(vec![best_effort_step(8, 6_550, 5_712, "wide")]));
+    submit_stream(&mut owner, &narrow, 100, LOADED_WAIT_MS);
     assert_started(&mut owner, FIRST);
 }
 
-/// Guards against a filling task that no bound keeps out and that is not looked at, as forty
-/// kinds of others before it find no worker.
+/// Guards against a best-effort task that no limit keeps out but that is never tried, because
+/// forty other kinds before it find no worker.
 #[test]
-fn a_filling_task_is_looked_at_however_many_kinds_find_no_worker() {
+fn a_best_effort_task_is_tried_however_many_kinds_find_no_worker() {
     const KINDS: u64 = 45;
     let mut owner = Owner::new(1);
     let mut images: Vec<(String, f32)> = (0..KINDS)
         .map(|kind| (format!("filling-{kind}"), 4.0))
         .collect();
     images.push(("calm".to_owned(), 0.0));
-    presses(&mut owner, &images);
-    last(&mut owner, SECOND, serving(1, 1_000), None);
+    set_interference(&mut owner, &images);
+    submit_long_running_job(&mut owner, SECOND, serving_step(1, 1_000), None);
     owner.advance(3_000);
     for (job, (image, _)) in (100..100 + KINDS).zip(&images) {
         let long = Step {
             estimate_ms: 100_000,
-            ..filling(2, 150, 1_000, image)
+            ..best_effort_step(2, 150, 1_000, image)
         };
         owner.submit(job, spec(vec![long]));
     }
-    let calm = Step {
+    let harmless = Step {
         estimate_ms: 100_000,
-        ..filling(3, 150, 1_000, "calm")
+        ..best_effort_step(3, 150, 1_000, "calm")
     };
-    owner.submit(FIRST, spec(vec![calm]));
+    owner.submit(FIRST, spec(vec![harmless]));
     owner.advance(1_000);
     assert_started(&mut owner, FIRST);
 }
