--- a/crates/stackpier-fuzz/src/config.rs
+++ b/crates/stackpier-fuzz/src/config.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The world of accepted intents: operators that race, a store that loses
-//! replies and carries out calls late, and daemons that learn pages from stale
+//! A simulation of operators' changes to intents: operators race, the store
+//! loses answers and performs calls late, and daemons learn pages from stale
 //! reads and from each other.
 
 mod operation;
@@ -22,33 +22,34 @@
 use operation::{Accepted, Detached, Operation};
 use store::{Store, Stored};
 
-pub use step::{Guard, Step};
+pub use step::{Mutation, Step};
 
-/// DAEMONS is the count of daemons.
+/// DAEMONS is the number of daemons.
 const DAEMONS: usize = 4;
 
-/// Daemon is what one daemon knows.
+/// Daemon holds the intents that one daemon knows.
 #[derive(Debug)]
 struct Daemon {
     catalogue: Catalogue,
     writer: Writer,
 }
 
-/// Read is a page on its way to a daemon.
+/// Read is a page that was read from the store and has not reached its daemon
+/// yet; `None` if the store had no page.
 #[derive(Debug)]
 struct Read {
     daemon: usize,
     stored: Option<Stored>,
 }
 
-/// World is everything under test and its fakes.
+/// Simulation holds the code under test, the fake store and the operators.
 #[derive(Debug)]
-pub struct World {
-    guard: Guard,
+pub struct Simulation {
+    mutation: Mutation,
     store: Store,
     operations: Vec<Operation>,
     detached: Vec<Detached>,
-    /// Submissions whose operators were told that they are refused.
+    /// Submissions whose operators received a refusal.
     refused: Vec<u128>,
     accepted: Vec<Accepted>,
     daemons: Vec<Daemon>,
@@ -57,8 +58,8 @@
     boots: u64,
 }
 
-/// label returns one of two names that share a shard.
-fn label(n: u8) -> Name {
+/// intent_name returns one of two names of intents that share a shard.
+fn intent_name(n: u8) -> Name {
     let wanted = shard_of(name("fleet"));
     let mut others = (0..).map(|number| name(&format!("other-{number}")));
     let other = others.find(|other| shard_of(*other) == wanted);
@@ -68,11 +69,11 @@
     }
 }
 
-impl World {
-    /// new builds a world with nothing accepted.
-    pub fn new(guard: Guard) -> World {
-        let mut world = World {
-            guard,
+impl Simulation {
+    /// new builds a simulation without any accepted intent.
+    pub fn new(mutation: Mutation) -> Simulation {
+        let mut simulation = Simulation {
+            mutation,
             store: Store::default(),
             operations: Vec::new(),
             detached: Vec::new(),
@@ -84,13 +85,14 @@
             boots: 0,
         };
         for _ in 0..DAEMONS {
-            let daemon = world.fresh();
-            world.daemons.push(daemon);
+            let daemon = simulation.new_daemon();
+            simulation.daemons.push(daemon);
         }
-        world
+        simulation
     }
 
-    fn fresh(&mut self) -> Daemon {
+    /// new_daemon returns a daemon that has just started and knows no intents.
+    fn new_daemon(&mut self) -> Daemon {
         self.boots += 1;
         Daemon {
             catalogue: Catalogue::default(),
@@ -105,24 +107,26 @@
         let mut restarted = None;
         match step {
             Step::Submit(n, expect, size) => self.submit(n, expect, size),
-            Step::Cancel(n, expect, _) => self.start(expect, Wanted::Cancel(label(n))),
-            Step::Serve(n) => self.serve(n, true),
-            Step::LoseAnswer(n) => self.serve(n, false),
-            Step::Lose(n) => self.lose(n),
-            Step::Detach(n) => self.detach(n),
-            Step::Late(n) => self.late(n),
+            Step::Cancel(n, expect, _) => {
+                self.start_operation(expect, Wanted::Cancel(intent_name(n)))
+            }
+            Step::Serve(n) => self.serve_call(n, true),
+            Step::LoseAnswer(n) => self.serve_call(n, false),
+            Step::Lose(n) => self.lose_call(n),
+            Step::Detach(n) => self.detach_call(n),
+            Step::Late(n) => self.perform_detached(n),
             Step::Read(n) => self.reads.push(Read {
                 daemon: usize::from(n) % DAEMONS,
                 stored: self.store.stored().cloned(),
             }),
-            Step::Arrive(n) => self.arrive(n),
+            Step::Arrive(n) => self.deliver_read(n),
             Step::Pull(to, from) => {
-                self.pull(usize::from(to) % DAEMONS, usize::from(from) % DAEMONS)
+                self.pull_pages(usize::from(to) % DAEMONS, usize::from(from) % DAEMONS)
             }
             Step::Restart(n) => {
                 let number = usize::from(n) % DAEMONS;
                 hit("fault: daemon restarted");
-                self.daemons[number] = self.fresh();
+                self.daemons[number] = self.new_daemon();
                 restarted = Some(number);
             }
         }
@@ -132,22 +136,23 @@
 
     /// revisions returns the revision that each daemon knows.
     fn revisions(&self) -> Vec<Revision> {
-        let shard = shard_of(label(0));
+        let shard = shard_of(intent_name(0));
         self.daemons
             .iter()
             .map(|daemon| daemon.catalogue.revision(shard))
             .collect()
     }
 
-    /// arrive lets a read arrive at its daemon.
-    fn arrive(&mut self, n: u8) {
+    /// deliver_read gives a page that was read to its daemon, even if the page
+    /// has changed since.
+    fn deliver_read(&mut self, n: u8) {
         let Some(read) = pick(&mut self.reads, n) else {
             return;
         };
         let Some(stored) = read.stored else { return };
         let catalogue = &mut self.daemons[read.daemon].catalogue;
-        let shard = shard_of(label(0));
-        if self.guard == Guard::TakeAny {
+        let shard = shard_of(intent_name(0));
+        if self.mutation == Mutation::AcceptStalePage {
             *catalogue = Catalogue::default();
         }
         if !catalogue.offer(shard, stored.revision, stored.page) {
@@ -155,8 +160,8 @@
         }
     }
 
-    /// pull lets one daemon learn newer pages from another.
-    fn pull(&mut self, to: usize, from: usize) {
+    /// pull_pages lets one daemon learn newer pages from another.
+    fn pull_pages(&mut self, to: usize, from: usize) {
         let digest = self.daemons[from].catalogue.digest();
         for shard in self.daemons[to].catalogue.behind(&digest) {
             let Some((revision, page)) = self.daemons[from].catalogue.page(shard).cloned() else {
@@ -167,18 +172,18 @@
         }
     }
 
-    /// check_revisions asserts that no daemon went back, but for one that was
-    /// restarted.
+    /// check_revisions asserts that no daemon went back to an older revision,
+    /// except for one that was restarted.
     fn check_revisions(&self, before: &[Revision], restarted: Option<usize>) {
         for (number, (old, new)) in before.iter().zip(self.revisions()).enumerate() {
             assert!(
                 restarted == Some(number) || *old <= new,
-                "daemon {number} went back"
+                "daemon {number} went back to an older revision"
             );
         }
     }
 
-    /// check_refused asserts that nothing refused was ever stored.
+    /// check_refused asserts that no refused change was ever stored.
     fn check_refused(&self) {
         for submission in &self.refused {
             let stored = self.store.version(*submission);
@@ -189,11 +194,12 @@
         }
     }
 
-    /// settle lets everything late arrive and everybody learn, and asserts
-    /// that what was accepted is stored and in force everywhere.
+    /// settle performs all delayed calls and lets all daemons learn the
+    /// intents. It asserts that every accepted change is stored, and that all
+    /// daemons know the newest revision.
     pub fn settle(&mut self) {
         while !self.detached.is_empty() {
-            self.late(0);
+            self.perform_detached(0);
         }
         self.check_refused();
         for accepted in &self.accepted {
@@ -209,8 +215,8 @@
         };
         let revision = stored.revision;
         let first = &mut self.daemons[0].catalogue;
-        first.offer(shard_of(label(0)), revision, stored.page);
-        (1..DAEMONS).for_each(|number| self.pull(number, number - 1));
+        first.offer(shard_of(intent_name(0)), revision, stored.page);
+        (1..DAEMONS).for_each(|number| self.pull_pages(number, number - 1));
         assert!(self.revisions().iter().all(|known| *known == revision));
     }
 }
--- a/crates/stackpier-fuzz/src/config/operation.rs
+++ b/crates/stackpier-fuzz/src/config/operation.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The operators' changes: submitted, carried out, lost and late.
+//! The operators' changes: submitted, performed, lost or delayed.
 
 use stackpier_coordination::accept::{Acceptance, Change, Next, Wanted};
 use stackpier_core::{Size, error::Ran};
@@ -10,13 +10,13 @@
     page::{Fetched, Swapped},
 };
 
-use super::{DAEMONS, Guard, World, label};
+use super::{DAEMONS, Mutation, Simulation, intent_name};
 use crate::{
     choice::{name, pick},
     counts::hit,
 };
 
-/// Operation is a change on its way, and the call that it waits for.
+/// Operation is a change in progress, and the call that it waits for.
 #[derive(Debug)]
 pub(super) struct Operation {
     acceptance: Acceptance,
@@ -24,25 +24,26 @@
     next: Option<Next>,
 }
 
-/// Detached is a swap that counts as unanswered and was not carried out yet.
+/// Detached is a swap that timed out for its sender and was not performed yet.
 #[derive(Debug)]
 pub(super) struct Detached {
     expect: Revision,
     page: Page,
 }
 
-/// Accepted is a change whose operator was told that it is accepted.
+/// Accepted is a change whose operator received its acceptance.
 #[derive(Debug)]
 pub(super) struct Accepted {
     pub(super) submission: u128,
     pub(super) version: u64,
 }
 
-impl World {
+impl Simulation {
+    /// submit starts the submission of a service through a daemon.
     pub(super) fn submit(&mut self, n: u8, expect: u8, size: u8) {
         let replicas = [(name("dc-a"), u32::from(size))].into_iter().collect();
         let intent = Intent {
-            name: label(n),
+            name: intent_name(n),
             team: name("team-a"),
             size: Size::default(),
             priority: 0,
@@ -51,10 +52,11 @@
                 latency_target_ms: 50,
             }),
         };
-        self.start(expect, Wanted::Submit(intent));
+        self.start_operation(expect, Wanted::Submit(intent));
     }
 
-    pub(super) fn start(&mut self, expect: u8, wanted: Wanted) {
+    /// start_operation starts a change. One in three has no expected version.
+    pub(super) fn start_operation(&mut self, expect: u8, wanted: Wanted) {
         self.submissions += 1;
         let expect = (!expect.is_multiple_of(3)).then_some(u64::from(expect % 7));
         let change = Change {
@@ -70,60 +72,62 @@
         });
     }
 
-    /// take takes out an operation and what it waits for.
-    fn take(&mut self, n: u8) -> Option<(Operation, Next)> {
+    /// take_operation removes an operation and returns it with the call that
+    /// it waits for.
+    fn take_operation(&mut self, n: u8) -> Option<(Operation, Next)> {
         let mut operation = pick(&mut self.operations, n)?;
         let next = operation.next.take()?;
         Some((operation, next))
     }
 
-    /// serve has the store carry out a call; the answer may be lost.
-    pub(super) fn serve(&mut self, n: u8, answered: bool) {
-        let Some((operation, next)) = self.take(n) else {
+    /// serve_call lets the store perform a call. The answer is lost unless
+    /// `answered` is set.
+    pub(super) fn serve_call(&mut self, n: u8, answered: bool) {
+        let Some((operation, next)) = self.take_operation(n) else {
             return;
         };
         match next {
             Next::Read if answered => {
                 let fetched = self.store.read();
-                self.read(operation, fetched);
+                self.handle_read(operation, fetched);
             }
-            Next::Read => self.read(operation, Fetched::Failed),
+            Next::Read => self.handle_read(operation, Fetched::Failed),
             Next::Swap(expect, page) => {
                 let swapped = self.store.swap(expect, page);
-                self.swapped(operation, if answered { swapped } else { Swapped::Unclear });
+                self.handle_swapped(operation, if answered { swapped } else { Swapped::Unclear });
             }
             Next::Answer(..) => {}
         }
     }
 
-    /// lose loses a call before the store.
-    pub(super) fn lose(&mut self, n: u8) {
-        let Some((operation, next)) = self.take(n) else {
+    /// lose_call loses a call on its way to the store.
+    pub(super) fn lose_call(&mut self, n: u8) {
+        let Some((operation, next)) = self.take_operation(n) else {
             return;
         };
         match next {
-            Next::Read => self.read(operation, Fetched::Failed),
-            _ => self.swapped(operation, Swapped::Unclear),
+            Next::Read => self.handle_read(operation, Fetched::Failed),
+            _ => self.handle_swapped(operation, Swapped::Unclear),
         }
     }
 
-    /// detach lets a call count as unanswered, to be carried out later.
-    pub(super) fn detach(&mut self, n: u8) {
-        let Some((operation, next)) = self.take(n) else {
+    /// detach_call reports a call as unanswered. A swap is performed later.
+    pub(super) fn detach_call(&mut self, n: u8) {
+        let Some((operation, next)) = self.take_operation(n) else {
             return;
         };
         match next {
             Next::Swap(expect, page) => {
                 hit("fault: swap delayed past its time-out");
                 self.detached.push(Detached { expect, page });
-                self.swapped(operation, Swapped::Unclear);
+                self.handle_swapped(operation, Swapped::Unclear);
             }
-            _ => self.read(operation, Fetched::Failed),
+            _ => self.handle_read(operation, Fetched::Failed),
         }
     }
 
-    /// late carries out a detached call.
-    pub(super) fn late(&mut self, n: u8) {
+    /// perform_detached performs a detached swap.
+    pub(super) fn perform_detached(&mut self, n: u8) {
         let Some(detached) = pick(&mut self.detached, n) else {
             return;
         };
@@ -133,29 +137,30 @@
         }
     }
 
-    fn read(&mut self, mut operation: Operation, fetched: Fetched) {
+    fn handle_read(&mut self, mut operation: Operation, fetched: Fetched) {
         let number = self.operations.len() % DAEMONS;
         let next = operation
             .acceptance
             .read(fetched, &mut self.daemons[number].writer);
-        self.go_on(operation, next);
+        self.continue_with(operation, next);
     }
 
-    fn swapped(&mut self, mut operation: Operation, swapped: Swapped) {
-        let told = match (self.guard, swapped) {
-            (Guard::UnclearIsRefused, Swapped::Unclear) => Swapped::Refused,
+    fn handle_swapped(&mut self, mut operation: Operation, swapped: Swapped) {
+        let reported = match (self.mutation, swapped) {
+            (Mutation::UnclearIsRefused, Swapped::Unclear) => Swapped::Refused,
             _ => swapped,
         };
-        if self.guard == Guard::NoSubmission && told == Swapped::Unclear {
+        if self.mutation == Mutation::NoSubmissionLookup && reported == Swapped::Unclear {
             self.refused.push(operation.submission);
             return;
         }
-        let next = operation.acceptance.swapped(told);
-        self.go_on(operation, next);
+        let next = operation.acceptance.swapped(reported);
+        self.continue_with(operation, next);
     }
 
-    /// go_on records the end of an operation, or lets it wait for the next call.
-    fn go_on(&mut self, mut operation: Operation, next: Next) {
+    /// continue_with records the end of an operation, or lets it wait for its
+    /// next call.
+    fn continue_with(&mut self, mut operation: Operation, next: Next) {
         match next {
             Next::Answer(Ok(accepted), page) => {
                 hit("branch: change accepted");
@@ -163,7 +168,7 @@
                     submission: operation.submission,
                     version: accepted.version,
                 });
-                let shard = shard_of(label(0));
+                let shard = shard_of(intent_name(0));
                 if let Some((revision, page)) = page {
                     let number = self.accepted.len() % DAEMONS;
                     self.daemons[number].catalogue.offer(shard, revision, page);
--- a/crates/stackpier-fuzz/src/config/step.rs
+++ b/crates/stackpier-fuzz/src/config/step.rs
@@ -1,43 +1,50 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The transitions of the world, and the rules that can be taken away.
+//! The transitions of the simulation, and the safety rules that a test can
+//! disable.
 
-/// Guard is a safety rule that a test can take away, to see the oracle fail.
+/// Mutation is a safety rule that is disabled, to check that the oracle detects
+/// its absence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Guard {
-    /// All rules stand.
+pub enum Mutation {
+    /// No rule is disabled.
     #[default]
-    Whole,
-    /// A swap without an answer counts as refused.
+    Original,
+    /// A swap without an answer counts as refused by the store.
     UnclearIsRefused,
-    /// A daemon takes the page that it read last, older or not.
-    TakeAny,
-    /// A swap is tried once and its submission is not looked for.
-    NoSubmission,
+    /// A daemon accepts the page that arrived last, even if it is older than
+    /// the known one.
+    AcceptStalePage,
+    /// A swap is tried once: without an answer the change counts as refused,
+    /// and nobody looks for its submission in the stored page.
+    NoSubmissionLookup,
 }
 
-/// Step is one transition. Numbers choose among what is there.
+/// Step is one transition. Its numbers select one of the daemons, calls or
+/// messages that exist at that time.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// An operator submits through a daemon: name, expected version or none.
+    /// An operator submits a service: its name, the expected version (or
+    /// none), and its number of replicas.
     Submit(u8, u8, u8),
-    /// An operator cancels through a daemon.
+    /// An operator cancels an intent: its name, and the expected version (or
+    /// none). The last number is unused.
     Cancel(u8, u8, u8),
-    /// The store carries out a call and answers.
+    /// The store performs a call and answers.
     Serve(u8),
-    /// The store carries out a call; the answer is lost.
+    /// The store performs a call; the answer is lost.
     LoseAnswer(u8),
-    /// A call is lost.
+    /// A call is lost on its way to the store.
     Lose(u8),
-    /// A call counts as unanswered and is carried out later.
+    /// A call is reported as unanswered; a swap is performed later.
     Detach(u8),
-    /// A detached call is carried out.
+    /// A detached swap is performed.
     Late(u8),
-    /// A daemon begins to read the page.
+    /// The store reads the page for a daemon.
     Read(u8),
-    /// A read arrives, whatever has changed since.
+    /// A page that was read reaches its daemon, even if it has changed since.
     Arrive(u8),
-    /// A daemon pulls from another one.
+    /// A daemon learns newer pages from another one.
     Pull(u8, u8),
-    /// A daemon ends and starts with nothing.
+    /// A daemon restarts and loses what it knew.
     Restart(u8),
 }
--- a/crates/stackpier-fuzz/src/config/store.rs
+++ b/crates/stackpier-fuzz/src/config/store.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The fake store: one page of intents, and what was ever written to it.
+//! The fake store: one page of intents, and a record of all submissions ever
+//! written to it.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +12,30 @@
 
 use crate::counts::hit;
 
-/// Stored is the page with its revision.
+/// Stored is the stored page with its revision.
 #[derive(Clone, Debug)]
 pub(super) struct Stored {
     pub(super) revision: Revision,
     pub(super) page: Shard,
 }
 
-/// Store keeps the page and its history.
+/// Store holds the page and the record of its submissions.
 #[derive(Debug, Default)]
 pub(super) struct Store {
     writes: u64,
     stored: Option<Stored>,
-    /// Version by submission, of every page that was ever stored.
+    /// The version at which each submission was first stored.
     versions: BTreeMap<u128, u64>,
 }
 
 impl Store {
-    /// stored returns the page, if there is one.
+    /// stored returns the page with its revision, if one was written.
     pub(super) fn stored(&self) -> Option<&Stored> {
         self.stored.as_ref()
     }
 
-    /// version returns the version at which a submission was first stored.
+    /// version returns the version at which a submission was first stored;
+    /// `None` if it never was.
     pub(super) fn version(&self, submission: u128) -> Option<u64> {
         self.versions.get(&submission).copied()
     }
@@ -46,7 +48,7 @@
         }
     }
 
-    /// swap replaces the page if it still has this revision.
+    /// swap replaces the page if it still has the expected revision.
     pub(super) fn swap(&mut self, expect: Revision, page: Page) -> Swapped {
         let Page::Intents(page) = page else {
             return Swapped::Lost;
--- a/crates/stackpier-fuzz/src/once.rs
+++ b/crates/stackpier-fuzz/src/once.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The world of requests that run at most once: receivers and holders in two
-//! data centres, holder maps that change, callers that repeat, and upstreams
-//! that may run a request late.
+//! A simulation of requests that run at most once: receivers and holders in
+//! several data centres, holder maps that change, callers that repeat requests,
+//! and upstreams that may run a request late.
 
 mod attempt;
 mod maps;
@@ -27,19 +27,19 @@
 use messages::{Message, Sealer};
 use upstream::Dispatch;
 
-pub use step::{Guard, Step};
+pub use step::{Mutation, Step};
 
-/// ALL is the count of daemons, spread evenly over the data centres.
-const ALL: usize = 6;
-/// KEYS is the most keys of one case.
-const KEYS: usize = 12;
-/// OPTIONS are the times keys are judged by.
+/// DAEMONS is the number of daemons, spread evenly over the data centres.
+const DAEMONS: usize = 6;
+/// MAX_KEYS is the largest number of keys in one case.
+const MAX_KEYS: usize = 12;
+/// OPTIONS sets the largest age of keys and the largest difference of clocks.
 const OPTIONS: Options = Options {
     window_ms: 4_000,
     allowance_ms: 400,
 };
-/// START is the true time at which a case starts.
-const START: u64 = 1_000_000;
+/// START_MS is the true time at which a case starts.
+const START_MS: u64 = 1_000_000;
 
 /// Daemon is a receiver and holder with its clock.
 #[derive(Debug)]
@@ -50,28 +50,33 @@
     frozen: bool,
     /// Wall clock against true time, in milliseconds.
     offset: u64,
-    tries: u64,
+    attempt_count: u64,
 }
 
-/// World is everything under test and its fakes.
+/// Simulation holds the daemons under test, and the fake callers and upstreams.
 #[derive(Debug)]
-pub struct World {
-    guard: Guard,
-    /// Count of data centres.
+pub struct Simulation {
+    mutation: Mutation,
+    /// Number of data centres.
     centres: usize,
     time: u64,
     boots: u64,
     maps: Vec<Map>,
     daemons: Vec<Daemon>,
-    over: Vec<Member>,
+    /// Members whose process has ended.
+    ended: Vec<Member>,
     keys: Vec<Key>,
-    late: Vec<(Key, usize)>,
+    /// First attempts in flight from a caller to a daemon.
+    delayed_attempts: Vec<(Key, usize)>,
     attempts: Vec<Attempt>,
     sealers: Vec<Sealer>,
     messages: Vec<Message>,
+    /// Messages that their senders consider lost and that still arrive.
     detached: Vec<Message>,
     dispatched: Vec<Dispatch>,
-    running: Vec<Dispatch>,
+    /// Requests that the receiver considers broken and that still run.
+    delayed: Vec<Dispatch>,
+    /// How often the request of each key ran.
     executions: BTreeMap<Key, u32>,
 }
 
@@ -79,45 +84,46 @@
     name(&format!("dc-{centre}"))
 }
 
-impl World {
-    /// new builds a world of this many data centres, in which every daemon
-    /// knows a first map.
-    pub fn new(guard: Guard, centres: usize) -> World {
-        let mut world = World {
-            guard,
+impl Simulation {
+    /// new builds a simulation of `centres` data centres, in which every daemon
+    /// knows the first map of its own.
+    pub fn new(mutation: Mutation, centres: usize) -> Simulation {
+        let mut simulation = Simulation {
+            mutation,
             centres,
-            time: START,
+            time: START_MS,
             boots: 0,
             maps: vec![Map::default(); centres],
             daemons: Vec::new(),
-            over: Vec::new(),
+            ended: Vec::new(),
             keys: Vec::new(),
-            late: Vec::new(),
+            delayed_attempts: Vec::new(),
             attempts: Vec::new(),
             sealers: Vec::new(),
             messages: Vec::new(),
             detached: Vec::new(),
             dispatched: Vec::new(),
-            running: Vec::new(),
+            delayed: Vec::new(),
             executions: BTreeMap::new(),
         };
-        for number in 0..ALL {
-            let daemon = world.fresh(number);
-            world.daemons.push(daemon);
+        for number in 0..DAEMONS {
+            let daemon = simulation.new_daemon(number);
+            simulation.daemons.push(daemon);
         }
         for centre in 0..centres {
-            let members = world.members(centre, u8::MAX);
-            world.maps[centre].renew(members);
+            let members = simulation.members(centre, u8::MAX);
+            simulation.maps[centre].renew(members);
         }
-        (0..ALL).for_each(|number| world.learn(number));
-        world
+        (0..DAEMONS).for_each(|number| simulation.learn_map(number));
+        simulation
     }
 
-    fn fresh(&mut self, number: usize) -> Daemon {
+    /// new_daemon returns a daemon that has just started and has no records.
+    fn new_daemon(&mut self, number: usize) -> Daemon {
         self.boots += 1;
         let boot = Boot(self.boots);
         Daemon {
-            centre: number * self.centres / ALL,
+            centre: number * self.centres / DAEMONS,
             me: Member {
                 vm: name(&format!("entry-{number}")),
                 boot,
@@ -126,16 +132,18 @@
             frozen: false,
             // The clocks of daemons and callers differ by up to the allowance.
             offset: (number as u64 * 83) % (OPTIONS.allowance_ms / 2),
-            tries: 0,
+            attempt_count: 0,
         }
     }
 
+    /// members returns the daemons of a data centre whose bits are set in
+    /// `subset`.
     fn members(&self, centre: usize, subset: u8) -> Vec<Member> {
         let here = self.daemons.iter().filter(|daemon| daemon.centre == centre);
-        let chosen = here
+        let selected = here
             .enumerate()
             .filter(|(place, _)| subset & (1 << place) != 0);
-        chosen.map(|(_, daemon)| daemon.me).collect()
+        selected.map(|(_, daemon)| daemon.me).collect()
     }
 
     fn unix(&self, daemon: usize) -> Unix {
@@ -146,50 +154,52 @@
     pub fn step(&mut self, step: Step) {
         trace("step", &step);
         match step {
-            Step::First(n) => self.first(n, false),
-            Step::FirstLate(n) => self.first(n, true),
+            Step::First(n) => self.start_first_attempt(n, false),
+            Step::FirstLate(n) => self.start_first_attempt(n, true),
             Step::Arrive(n) => {
-                if let Some((key, daemon)) = pick(&mut self.late, n) {
-                    self.attempt(key, daemon, true);
+                if let Some((key, daemon)) = pick(&mut self.delayed_attempts, n) {
+                    self.start_attempt(key, daemon, true);
                 }
             }
-            Step::Again(n, daemon) => self.again(n, daemon),
-            Step::Serve(n) => self.serve(n, true),
-            Step::LoseAnswer(n) => self.serve(n, false),
+            Step::Again(n, daemon) => self.repeat_attempt(n, daemon),
+            Step::Serve(n) => self.serve_message(n, true),
+            Step::LoseAnswer(n) => self.serve_message(n, false),
             Step::Lose(n) => {
                 if let Some(message) = pick(&mut self.messages, n) {
                     hit("fault: message lost");
-                    self.answer(&message, None);
+                    self.deliver_answer(&message, None);
                 }
             }
-            Step::Detach(n) => self.detach(n),
+            Step::Detach(n) => self.detach_message(n),
             Step::Late(n) => {
                 if let Some(message) = pick(&mut self.detached, n) {
                     hit("fault: message served late");
                     self.perform(&message);
                 }
             }
-            Step::Run(n) => self.run(n),
-            Step::RunBroken(n) => self.run_broken(n),
-            Step::Refuse(n) => self.refuse(n),
-            Step::RunLater(n) => self.run_later(n),
+            Step::Run(n) => self.run_request(n),
+            Step::RunBroken(n) => self.run_and_lose_answer(n),
+            Step::Refuse(n) => self.refuse_request(n),
+            Step::RunLater(n) => self.delay_request(n),
             Step::RunNow(n) => {
-                if let Some(dispatch) = pick(&mut self.running, n) {
+                if let Some(dispatch) = pick(&mut self.delayed, n) {
                     self.execute(dispatch);
                 }
             }
-            Step::Learn(n) => self.learn(usize::from(n) % ALL),
-            Step::Renew(n, subset) => self.renew(usize::from(n) % ALL, subset),
-            Step::Freeze(n) => self.daemons[usize::from(n) % ALL].frozen = true,
-            Step::Thaw(n) => self.daemons[usize::from(n) % ALL].frozen = false,
-            Step::Restart(n) => self.restart(usize::from(n) % ALL),
-            Step::List(n) => self.list(usize::from(n) % ALL),
+            Step::Learn(n) => self.learn_map(usize::from(n) % DAEMONS),
+            Step::Renew(n, subset) => self.renew_map(usize::from(n) % DAEMONS, subset),
+            Step::Freeze(n) => self.daemons[usize::from(n) % DAEMONS].frozen = true,
+            Step::Thaw(n) => self.daemons[usize::from(n) % DAEMONS].frozen = false,
+            Step::Restart(n) => self.restart_daemon(usize::from(n) % DAEMONS),
+            Step::List(n) => self.acknowledge_ended(usize::from(n) % DAEMONS),
             Step::Wait(ms) => self.time += u64::from(ms),
         }
     }
 
-    fn first(&mut self, n: u8, late: bool) {
-        if self.keys.len() >= KEYS {
+    /// start_first_attempt makes a key and sends its first attempt, which
+    /// arrives at once or `late`.
+    fn start_first_attempt(&mut self, n: u8, late: bool) {
+        if self.keys.len() >= MAX_KEYS {
             return;
         }
         // Callers' clocks run behind true time by up to half the allowance.
@@ -197,18 +207,19 @@
         let random = (self.keys.len() as u128 + 1) * 0x9e37_79b9_7f4a_7c15;
         let key = Key((u128::from(minted) << 80) | (random & ((1 << 76) - 1)));
         self.keys.push(key);
-        let daemon = usize::from(n) % ALL;
+        let daemon = usize::from(n) % DAEMONS;
         match late {
-            true => self.late.push((key, daemon)),
-            false => self.attempt(key, daemon, true),
+            true => self.delayed_attempts.push((key, daemon)),
+            false => self.start_attempt(key, daemon, true),
         }
     }
 
-    fn again(&mut self, n: u8, daemon: u8) {
+    /// repeat_attempt sends a known key again through a daemon.
+    fn repeat_attempt(&mut self, n: u8, daemon: u8) {
         if self.keys.is_empty() {
             return;
         }
         let key = self.keys[usize::from(n) % self.keys.len()];
-        self.attempt(key, usize::from(daemon) % ALL, false);
+        self.start_attempt(key, usize::from(daemon) % DAEMONS, false);
     }
 }
--- a/crates/stackpier-fuzz/src/once/attempt.rs
+++ b/crates/stackpier-fuzz/src/once/attempt.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Attempts of callers at daemons, from the key to the answer.
+//! Attempts of callers at daemons, from the arrival of the key to the answer.
 
 use stackpier_coordination::once::{Once, Progress, Setting, Told, Verdict};
 use stackpier_core::{
@@ -13,10 +13,10 @@
     ledger::{Grantee, Record},
 };
 
-use super::{Guard, OPTIONS, World, centre_name, messages::Message, upstream::Dispatch};
+use super::{Mutation, OPTIONS, Simulation, centre_name, messages::Message, upstream::Dispatch};
 use crate::counts::{hit, trace};
 
-/// Attempt is one request of a caller at a daemon.
+/// Attempt is one request of a caller that a daemon received.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub key: Key,
@@ -29,22 +29,24 @@
     pub answer: Option<Ran>,
 }
 
-impl World {
-    pub(super) fn attempt(&mut self, key: Key, number: usize, first: bool) {
+impl Simulation {
+    /// start_attempt lets a daemon receive a request, unless it is frozen or
+    /// refuses the age of the key.
+    pub(super) fn start_attempt(&mut self, key: Key, number: usize, first: bool) {
         if self.daemons[number].frozen || OPTIONS.check(key, self.unix(number)).is_err() {
             hit("branch: key out of the window");
             return;
         }
         let centres: Vec<Name> = (0..self.centres).map(centre_name).collect();
-        let guard = self.guard;
+        let mutation = self.mutation;
         let daemon = &mut self.daemons[number];
-        daemon.tries += 1;
+        daemon.attempt_count += 1;
         let by = Grantee {
             boot: daemon.me.boot,
-            number: daemon.tries,
+            number: daemon.attempt_count,
         };
         let mut map = daemon.holder.map().clone();
-        if guard == Guard::NoEarlierHolders {
+        if mutation == Mutation::NoEarlierHolders {
             map.versions = map.versions.split_off(map.versions.len().saturating_sub(1));
         }
         let setting = Setting {
@@ -52,7 +54,7 @@
             data_centre: centre_name(daemon.centre),
             map: &map,
             data_centres: &centres,
-            first: first || guard == Guard::NoOtherCentres,
+            first: first || mutation == Mutation::NoOtherDataCentres,
         };
         let (once, progress) = Once::new(key, setting, OPTIONS);
         self.attempts.push(Attempt {
@@ -65,22 +67,22 @@
             executed: false,
             answer: None,
         });
-        self.progress(self.attempts.len() - 1, progress);
+        self.apply_progress(self.attempts.len() - 1, progress);
     }
 
-    fn progress(&mut self, number: usize, progress: Progress) {
+    fn apply_progress(&mut self, number: usize, progress: Progress) {
         match progress {
             Progress::Ask(ask) => self.messages.push(Message::Ask(number, ask)),
             Progress::Decided(verdict, unused) => {
                 if let Some(holder) = unused {
-                    self.finish(number, holder, Record::NotRun);
+                    self.send_finish(number, holder, Record::NotRun);
                 }
-                self.decided(number, verdict);
+                self.apply_verdict(number, verdict);
             }
         }
     }
 
-    fn decided(&mut self, number: usize, verdict: Verdict) {
+    fn apply_verdict(&mut self, number: usize, verdict: Verdict) {
         trace("verdict", &(number, &verdict));
         match verdict {
             Verdict::Run(holder) => self.dispatched.push(Dispatch {
@@ -93,27 +95,32 @@
                 assert_eq!(
                     self.executions.get(&key),
                     Some(&1),
-                    "answered, but never ran"
+                    "a repeat got an answer, but no attempt ran"
                 );
             }
             Verdict::Refuse(kind) => {
                 count_refusal(kind);
-                self.answered(number, kind.answer().ran);
+                self.record_answer(number, kind.answer().ran);
             }
         }
     }
 
-    /// answered notes an error answer and checks one that says "not run".
-    pub(super) fn answered(&mut self, number: usize, ran: Ran) {
+    /// record_answer records the error answer to an attempt. If it says "not
+    /// run" to a repeat, it asserts that no attempt with this key ran.
+    pub(super) fn record_answer(&mut self, number: usize, ran: Ran) {
         let attempt = &mut self.attempts[number];
         attempt.answer = Some(ran);
         if ran == Ran::No && !attempt.first {
             let count = self.executions.get(&attempt.key).copied().unwrap_or(0);
-            assert_eq!(count, 0, "a repeat was told 'not run', but an attempt ran");
+            assert_eq!(
+                count, 0,
+                "a repeat got the answer 'not run', but an attempt ran"
+            );
         }
     }
 
-    pub(super) fn finish(&mut self, number: usize, holder: Member, record: Record) {
+    /// send_finish reports the outcome of an attempt to the holder of its key.
+    pub(super) fn send_finish(&mut self, number: usize, holder: Member, record: Record) {
         let attempt = &self.attempts[number];
         let finish = Finish {
             key: attempt.key,
@@ -123,8 +130,9 @@
         self.messages.push(Message::Finish(holder, finish));
     }
 
-    /// learned takes a newer map out of an answer, as the daemon does.
-    pub(super) fn learned(&mut self, number: usize, held: Held) -> Told {
+    /// learn_from_answer lets the daemon learn a newer map that an answer
+    /// contains, as the real daemon does.
+    pub(super) fn learn_from_answer(&mut self, number: usize, held: Held) -> Told {
         let daemon = self.attempts[number].daemon;
         if let Held::Newer(map) = &held {
             hit("branch: receiver behind the holder");
@@ -133,13 +141,15 @@
         Told::Held(held)
     }
 
-    pub(super) fn tell(&mut self, number: usize, told: Told) {
+    /// resume_attempt gives an attempt the answer that it waits for. An attempt
+    /// that was answered, or whose daemon restarted, ignores it.
+    pub(super) fn resume_attempt(&mut self, number: usize, told: Told) {
         let attempt = &mut self.attempts[number];
         if self.daemons[attempt.daemon].me.boot != attempt.boot || attempt.answer.is_some() {
             return;
         }
         let progress = attempt.once.tell(told);
-        self.progress(number, progress);
+        self.apply_progress(number, progress);
     }
 }
 
--- a/crates/stackpier-fuzz/src/once/maps.rs
+++ b/crates/stackpier-fuzz/src/once/maps.rs
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Holder maps that change, and daemons that start anew.
+//! Changes of the holder maps, and restarts of daemons.
 
 use stackpier_core::Unix;
 
-use super::{Guard, OPTIONS, World};
+use super::{Mutation, OPTIONS, Simulation};
 use crate::counts::hit;
 
-impl World {
-    /// learn lets a daemon read the map, and acknowledge it in the page.
-    pub(super) fn learn(&mut self, number: usize) {
+impl Simulation {
+    /// learn_map lets a daemon read the map and acknowledge it in the page. Map
+    /// versions and records that are too old are dropped.
+    pub(super) fn learn_map(&mut self, number: usize) {
         if self.daemons[number].frozen {
             return;
         }
@@ -21,7 +22,9 @@
         daemon.holder.drop_old(OPTIONS.oldest(now));
     }
 
-    pub(super) fn renew(&mut self, number: usize, subset: u8) {
+    /// renew_map writes a version of the map with a subset of the data centre's
+    /// daemons.
+    pub(super) fn renew_map(&mut self, number: usize, subset: u8) {
         let daemon = &self.daemons[number];
         let centre = daemon.centre;
         let members = self.members(centre, subset);
@@ -31,7 +34,7 @@
         if self.maps[centre].renew(members) {
             hit("branch: map changed");
         }
-        if self.guard == Guard::RetireAtOnce {
+        if self.mutation == Mutation::RetireImmediately {
             let now = Unix(self.time);
             let newest = self.maps[centre].number();
             let earlier = self.maps[centre].versions.iter_mut();
@@ -41,19 +44,20 @@
         }
     }
 
-    pub(super) fn restart(&mut self, number: usize) {
+    pub(super) fn restart_daemon(&mut self, number: usize) {
         hit("fault: daemon restarted");
-        self.over.push(self.daemons[number].me);
-        self.daemons[number] = self.fresh(number);
+        self.ended.push(self.daemons[number].me);
+        self.daemons[number] = self.new_daemon(number);
     }
 
-    /// list notes in the map which members are proven to be over.
-    pub(super) fn list(&mut self, number: usize) {
+    /// acknowledge_ended acknowledges the newest version of the map in place of
+    /// the members that have ended, as they can no longer do so themselves.
+    pub(super) fn acknowledge_ended(&mut self, number: usize) {
         let centre = self.daemons[number].centre;
         let now = self.unix(number);
         let page = &mut self.maps[centre];
         let newest = page.number();
-        for member in &self.over {
+        for member in &self.ended {
             page.acknowledge(*member, newest, now);
         }
         if page
--- a/crates/stackpier-fuzz/src/once/messages.rs
+++ b/crates/stackpier-fuzz/src/once/messages.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Questions to holders, their answers, and the sealing for receivers in other
-//! data centres.
+//! Messages to holders, their answers, and the sealing of keys for receivers in
+//! other data centres.
 
 use std::collections::VecDeque;
 
@@ -15,14 +15,15 @@
     ledger::{Granting, Record},
 };
 
-use super::{Daemon, Guard, OPTIONS, World, centre_name, pick};
+use super::{Daemon, Mutation, OPTIONS, Simulation, centre_name, pick};
 use crate::counts::hit;
 
-/// Message is a question or a word under way.
+/// Message is a question or an outcome in flight to a holder. The number is
+/// that of the attempt or the sealer that waits for the answer.
 #[derive(Clone, Debug)]
 pub(super) enum Message {
     Ask(usize, Ask),
-    /// A seal asked for on behalf of another data centre's receiver.
+    /// A seal requested by a sealer, for a receiver in another data centre.
     SealFor(usize, Member, Seal),
     Finish(Member, Finish),
 }
@@ -32,46 +33,52 @@
 #[derive(Debug)]
 pub(super) struct Sealer {
     pub attempt: usize,
-    pub left: VecDeque<(Member, Seal)>,
+    /// Seals to request from here on, with their holders.
+    pub remaining: VecDeque<(Member, Seal)>,
     pub answers: Vec<Option<Held>>,
     pub done: bool,
 }
 
-impl World {
-    pub(super) fn serve(&mut self, n: u8, answered: bool) {
+impl Simulation {
+    /// serve_message lets the holder process a message. The answer is lost
+    /// unless `answered` is set.
+    pub(super) fn serve_message(&mut self, n: u8, answered: bool) {
         let Some(message) = pick(&mut self.messages, n) else {
             return;
         };
         let held = self.perform(&message);
         match answered {
-            true => self.answer(&message, held),
+            true => self.deliver_answer(&message, held),
             false => {
                 hit("fault: answer lost");
-                self.answer(&message, None);
+                self.deliver_answer(&message, None);
             }
         }
     }
 
-    pub(super) fn detach(&mut self, n: u8) {
+    /// detach_message reports a message as unanswered, and keeps it to be
+    /// served later.
+    pub(super) fn detach_message(&mut self, n: u8) {
         let Some(message) = pick(&mut self.messages, n) else {
             return;
         };
-        self.answer(&message, None);
+        self.deliver_answer(&message, None);
         self.detached.push(message);
     }
 
-    /// perform serves a message at its holder, if that run of it is there.
+    /// perform lets the holder process a message, and returns its answer;
+    /// `None` if the holder is frozen or the message has no direct answer.
     pub(super) fn perform(&mut self, message: &Message) -> Option<Held> {
         match message {
             Message::Ask(_, Ask::Grant(holder, grant)) => {
-                self.holder(*holder).map(|holder| holder.grant(*grant))
+                self.find_holder(*holder).map(|holder| holder.grant(*grant))
             }
             Message::Ask(_, Ask::Seal(holder, seal)) | Message::SealFor(_, holder, seal) => {
-                self.holder(*holder).map(|holder| holder.seal(*seal))
+                self.find_holder(*holder).map(|holder| holder.seal(*seal))
             }
             Message::Finish(holder, finish) => {
                 let finish = finish.clone();
-                if let Some(holder) = self.holder(*holder) {
+                if let Some(holder) = self.find_holder(*holder) {
                     holder.finish(finish);
                 }
                 None
@@ -83,7 +90,10 @@
         }
     }
 
-    fn holder(&mut self, member: Member) -> Option<&mut Holder> {
+    /// find_holder returns the holder that runs on the VM of a member, unless
+    /// it is frozen. It may be a later run than the member; the holder itself
+    /// refuses grants and seals that were meant for an earlier run.
+    fn find_holder(&mut self, member: Member) -> Option<&mut Holder> {
         let found = self
             .daemons
             .iter_mut()
@@ -91,55 +101,61 @@
         (!found.frozen).then_some(&mut found.holder)
     }
 
+    /// start_sealer lets a daemon of a data centre seal a key there.
     fn start_sealer(&mut self, attempt: usize, centre: Name, key: Key) {
-        let there = |daemon: &&Daemon| centre_name(daemon.centre) == centre && !daemon.frozen;
-        let Some(daemon) = self.daemons.iter().find(there) else {
+        let can_serve = |daemon: &&Daemon| centre_name(daemon.centre) == centre && !daemon.frozen;
+        let Some(daemon) = self.daemons.iter().find(can_serve) else {
             return;
         };
         let map = daemon.holder.map().clone();
-        let left = once::seals(key, &map, OPTIONS).into();
+        let remaining = once::seals(key, &map, OPTIONS).into();
         self.sealers.push(Sealer {
             attempt,
-            left,
+            remaining,
             answers: Vec::new(),
             done: false,
         });
         self.advance_sealer(self.sealers.len() - 1);
     }
 
+    /// advance_sealer requests the next seal, or answers the receiver after the
+    /// last one.
     fn advance_sealer(&mut self, number: usize) {
         let sealer = &mut self.sealers[number];
         if sealer.done {
             return;
         }
-        if let Some((member, seal)) = sealer.left.pop_front() {
+        if let Some((member, seal)) = sealer.remaining.pop_front() {
             self.messages.push(Message::SealFor(number, member, seal));
             return;
         }
         sealer.done = true;
         let sealing = once::sealing(&sealer.answers);
         let attempt = sealer.attempt;
-        self.tell(attempt, Told::There(sealing));
+        self.resume_attempt(attempt, Told::There(sealing));
     }
 
-    /// answer hands the answer to whoever asked; `None` is silence.
-    pub(super) fn answer(&mut self, message: &Message, held: Option<Held>) {
+    /// deliver_answer gives an answer to the sender of a message; `None` if
+    /// none came.
+    pub(super) fn deliver_answer(&mut self, message: &Message, held: Option<Held>) {
         match message {
             Message::Ask(number, Ask::There(..)) => {
-                // The answer comes from the sealer, unless the message itself
-                // was lost.
+                // The sealer answers later. If there is none, the message was
+                // lost or nobody could serve it.
                 let serving = self.sealers.iter().any(|s| s.attempt == *number && !s.done);
                 if !serving {
-                    self.tell(*number, Told::Silence);
+                    self.resume_attempt(*number, Told::Silence);
                 }
             }
             Message::Ask(number, _) => {
                 let told = match held {
-                    Some(held) => self.learned(*number, held),
-                    None if self.guard == Guard::SilenceIsFree => Told::Held(free(message)),
+                    Some(held) => self.learn_from_answer(*number, held),
+                    None if self.mutation == Mutation::SilenceIsNoRecord => {
+                        Told::Held(answer_without_record(message))
+                    }
                     None => Told::Silence,
                 };
-                self.tell(*number, told);
+                self.resume_attempt(*number, told);
             }
             Message::SealFor(number, ..) => {
                 self.sealers[*number].answers.push(held);
@@ -150,8 +166,9 @@
     }
 }
 
-/// free is what a holder without a record would have said.
-fn free(message: &Message) -> Held {
+/// answer_without_record returns what a holder without a record of the key
+/// would have answered.
+fn answer_without_record(message: &Message) -> Held {
     match message {
         Message::Ask(_, Ask::Grant(..)) => Held::Granting(Granting::Granted),
         _ => Held::Record(Record::Moved),
--- a/crates/stackpier-fuzz/src/once/step.rs
+++ b/crates/stackpier-fuzz/src/once/step.rs
@@ -1,40 +1,43 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What may happen to requests, and the rules that a test can take away.
+//! The transitions of the simulation, and the safety rules that a test can
+//! disable.
 
-/// Guard is a safety rule that a test can take away, to see the oracle fail.
+/// Mutation is a safety rule that is disabled, to check that the oracle detects
+/// its absence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Guard {
-    /// All rules stand.
+pub enum Mutation {
+    /// No rule is disabled.
     #[default]
-    Whole,
+    Original,
     /// A receiver does not ask the holders of earlier versions.
     NoEarlierHolders,
     /// A repeat does not ask the other data centres.
-    NoOtherCentres,
+    NoOtherDataCentres,
     /// A holder that can't be reached counts as one without a record.
-    SilenceIsFree,
-    /// A version retires at once when the next one is written.
-    RetireAtOnce,
+    SilenceIsNoRecord,
+    /// A version of the map retires as soon as the next one is written.
+    RetireImmediately,
 }
 
-/// Step is one transition. Numbers choose among what is there.
+/// Step is one transition. Its numbers select one of the daemons, keys or
+/// messages that exist at that time.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// A caller makes a key and sends its first attempt.
     First(u8),
-    /// A caller sends the first attempt late: it is under way meanwhile.
+    /// A caller makes a key and sends its first attempt, which arrives later.
     FirstLate(u8),
-    /// A late first attempt arrives.
+    /// A delayed first attempt arrives.
     Arrive(u8),
     /// A caller repeats a key through a daemon.
     Again(u8, u8),
     /// A message is served and answered.
     Serve(u8),
-    /// A message is served and its answer lost.
+    /// A message is served and its answer is lost.
     LoseAnswer(u8),
     /// A message is lost.
     Lose(u8),
-    /// A message counts as unanswered and is served later.
+    /// A message is reported as unanswered and is served later.
     Detach(u8),
     /// A detached message is served.
     Late(u8),
@@ -44,21 +47,22 @@
     RunBroken(u8),
     /// An upstream refuses a request.
     Refuse(u8),
-    /// A request counts as broken and is run later.
+    /// A request is reported as broken and runs later.
     RunLater(u8),
-    /// A request under way to an upstream is run.
+    /// A request that was reported as broken runs at its upstream.
     RunNow(u8),
     /// A daemon reads its data centre's map and acknowledges it.
     Learn(u8),
-    /// A daemon writes a version with a subset of the daemons that run.
+    /// A daemon writes a version of the map with a subset of the daemons that
+    /// run in its data centre.
     Renew(u8, u8),
     /// A daemon freezes.
     Freeze(u8),
     /// A daemon thaws.
     Thaw(u8),
-    /// A daemon ends and starts anew with no records.
+    /// A daemon restarts and loses its records.
     Restart(u8),
-    /// The list shows which runs of daemons are over.
+    /// The daemons that have ended are recorded in a data centre's map.
     List(u8),
     /// Time passes, in milliseconds.
     Wait(u16),
--- a/crates/stackpier-fuzz/src/placement.rs
+++ b/crates/stackpier-fuzz/src/placement.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The world of placement: owners and placers of several daemons over one
+//! A simulation of placement: the owners and placers of several daemons, one
 //! store and a few workers.
 
 mod calls;
@@ -27,43 +27,46 @@
 use daemon::Daemon;
 use messages::Message;
 
-pub use step::{Guard, Step};
+pub use step::{Mutation, Step};
 
-/// DAEMONS is the count of daemons.
+/// DAEMONS is the number of daemons.
 pub const DAEMONS: usize = 3;
-/// RACKS is the count of racks.
+/// RACKS is the number of racks.
 pub const RACKS: usize = 2;
-/// WORKERS is the count of workers, spread over the racks.
+/// WORKERS is the number of workers, spread evenly over the racks.
 pub const WORKERS: usize = 4;
-/// CAPACITY is what each worker offers.
+/// CAPACITY is the capacity of each worker.
 const CAPACITY: Size = Size {
     milli_cores: 4_000,
     memory_mib: 4_000,
     accelerators: 1,
 };
-/// MAX_DRIFT_MILLI is how far a clock's rate is off, in thousandths.
+/// MAX_DRIFT_MILLI is the largest error of a clock's rate, in thousandths.
 const MAX_DRIFT_MILLI: u64 = 40;
-/// SETTLE_ROUNDS is how many fault-free rounds bring the world to rest.
+/// SETTLE_ROUNDS is the number of fault-free rounds after which the simulation
+/// must be at rest.
 const SETTLE_ROUNDS: usize = 400;
-/// ROUND_MS is the length of such a round.
+/// ROUND_MS is the length of such a round in milliseconds.
 const ROUND_MS: u64 = 100;
 
-/// Machine is a worker of the world with its clock.
+/// Host is the VM of a simulated worker, with its clock.
 #[derive(Debug)]
-struct Machine {
+struct Host {
     name: Name,
     clock: Clock,
     model: Worker,
     gone: bool,
+    /// Whether calls can't reach the worker.
     cut: bool,
-    /// Logs of earlier boots.
+    /// What the worker ran before its last restart.
     past: Vec<Span>,
 }
 
-/// World is everything under test and its fakes.
+/// Simulation holds the daemons under test, and the fake store, roster and
+/// workers.
 #[derive(Debug)]
-pub struct World {
-    guard: Guard,
+pub struct Simulation {
+    mutation: Mutation,
     time: u64,
     boots: u64,
     store: BTreeMap<Key, (Revision, Page)>,
@@ -72,11 +75,11 @@
     intents: BTreeMap<u16, (Revision, Shard)>,
     submissions: u128,
     daemons: Vec<Daemon>,
-    workers: Vec<Machine>,
-    under_way: Vec<Operation>,
+    workers: Vec<Host>,
+    in_flight: Vec<Operation>,
     detached: Vec<Operation>,
     messages: Vec<Message>,
-    held: Vec<Message>,
+    held_back: Vec<Message>,
 }
 
 fn data_centre() -> Name {
@@ -87,11 +90,11 @@
     name(&format!("rack-{number}"))
 }
 
-impl World {
-    /// new builds a world at rest with nothing submitted.
-    pub fn new(guard: Guard) -> World {
-        let mut world = World {
-            guard,
+impl Simulation {
+    /// new builds a simulation at rest, without any submitted intent.
+    pub fn new(mutation: Mutation) -> Simulation {
+        let mut simulation = Simulation {
+            mutation,
             time: 0,
             boots: 0,
             store: BTreeMap::new(),
@@ -101,20 +104,23 @@
             submissions: 0,
             daemons: Vec::new(),
             workers: Vec::new(),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             detached: Vec::new(),
             messages: Vec::new(),
-            held: Vec::new(),
+            held_back: Vec::new(),
         };
         for number in 0..DAEMONS {
-            world.roster.vms.push(vm(&format!("entry-{number}"), None));
+            simulation
+                .roster
+                .vms
+                .push(vm(&format!("entry-{number}"), None));
         }
         for number in 0..WORKERS {
             let label = format!("worker-{number}");
             let rack = rack(number % RACKS);
-            world.roster.vms.push(vm(&label, Some(rack)));
-            let boot = world.boot();
-            world.workers.push(Machine {
+            simulation.roster.vms.push(vm(&label, Some(rack)));
+            let boot = simulation.next_boot();
+            simulation.workers.push(Host {
                 name: name(&label),
                 clock: Clock::new(
                     7_000 * number as u64,
@@ -127,13 +133,13 @@
             });
         }
         for number in 0..DAEMONS {
-            let daemon = world.fresh(number);
-            world.daemons.push(daemon);
+            let daemon = simulation.new_daemon(number);
+            simulation.daemons.push(daemon);
         }
-        world
+        simulation
     }
 
-    fn boot(&mut self) -> Boot {
+    fn next_boot(&mut self) -> Boot {
         self.boots += 1;
         Boot(self.boots)
     }
@@ -144,76 +150,78 @@
         match step {
             Step::Tick(n) => self.tick(usize::from(n) % DAEMONS),
             Step::Wait(ms) => self.time += u64::from(ms),
-            Step::Deliver(n) => self.deliver(n, true),
-            Step::LoseAnswer(n) => self.deliver(n, false),
+            Step::Deliver(n) => self.deliver_call(n, true),
+            Step::LoseAnswer(n) => self.deliver_call(n, false),
             Step::LoseCall(n) => self.lose_call(n),
-            Step::Detach(n) => self.detach(n),
-            Step::Late(n) => self.late(n),
-            Step::Freeze(n) => self.freeze(usize::from(n) % DAEMONS),
-            Step::Thaw(n) => self.thaw(usize::from(n) % DAEMONS),
-            Step::Restart(n) => self.restart(usize::from(n) % DAEMONS),
+            Step::Detach(n) => self.detach_call(n),
+            Step::Late(n) => self.perform_detached(n),
+            Step::Freeze(n) => self.freeze_daemon(usize::from(n) % DAEMONS),
+            Step::Thaw(n) => self.thaw_daemon(usize::from(n) % DAEMONS),
+            Step::Restart(n) => self.restart_daemon(usize::from(n) % DAEMONS),
             Step::Beat(from, to) => {
-                self.beat(usize::from(from) % DAEMONS, usize::from(to) % DAEMONS)
+                self.send_heartbeat(usize::from(from) % DAEMONS, usize::from(to) % DAEMONS)
             }
-            Step::Arrive(n) => self.arrive(n),
-            Step::Hold(n) => self.hold(n),
-            Step::Release(n) => self.release(n),
+            Step::Arrive(n) => self.deliver_message(n),
+            Step::Hold(n) => self.hold_back(n),
+            Step::Release(n) => self.release_held_back(n),
             Step::Vanish(n) => drop(pick(&mut self.messages, n)),
-            Step::Reboot(n) => self.reboot(usize::from(n) % WORKERS),
+            Step::Reboot(n) => self.restart_worker(usize::from(n) % WORKERS),
             Step::Cut(n, cut) => self.workers[usize::from(n) % WORKERS].cut = cut,
             Step::Leave(n) => self.list_worker(usize::from(n) % WORKERS, Standing::Leaving),
             Step::Gone(n) => self.end_worker(usize::from(n) % WORKERS),
             Step::Lost(n) => self.end_daemon(usize::from(n) % DAEMONS),
-            Step::Scale(n, count) => self.scale(n, count),
-            Step::Submit(n) => self.submit(n),
-            Step::Cancel(n) => self.cancel(n),
-            Step::Learn(n) => self.learn(usize::from(n) % DAEMONS),
-            Step::List(n) => self.learn_list(usize::from(n) % DAEMONS),
-            Step::Calm(rounds) => (0..rounds % 32).for_each(|_| self.round()),
+            Step::Scale(n, count) => self.scale_service(n, count),
+            Step::Submit(n) => self.submit_batch(n),
+            Step::Cancel(n) => self.cancel_intent(n),
+            Step::Learn(n) => self.learn_intents(usize::from(n) % DAEMONS),
+            Step::List(n) => self.learn_roster(usize::from(n) % DAEMONS),
+            Step::Calm(rounds) => (0..rounds % 32).for_each(|_| self.run_round()),
         }
     }
 
-    /// round lets everybody look once and everything arrive.
-    fn round(&mut self) {
+    /// run_round delivers all messages, ticks every daemon once, and answers
+    /// all calls that are in flight then.
+    fn run_round(&mut self) {
         self.time += ROUND_MS;
         for number in 0..DAEMONS {
-            self.learn(number);
-            self.learn_list(number);
+            self.learn_intents(number);
+            self.learn_roster(number);
             for other in 0..DAEMONS {
-                self.beat(number, other);
+                self.send_heartbeat(number, other);
             }
         }
         for message in std::mem::take(&mut self.messages) {
-            self.take(message);
+            self.receive(message);
         }
         for number in 0..DAEMONS {
             self.tick(number);
         }
-        for _ in 0..self.under_way.len() {
-            self.deliver(0, true);
+        for _ in 0..self.in_flight.len() {
+            self.deliver_call(0, true);
         }
     }
 
-    /// settle ends all faults and lets the world come to rest.
+    /// settle ends all faults and runs rounds until the simulation is at rest.
     pub fn settle(&mut self) {
         for number in 0..DAEMONS {
-            self.thaw(number);
+            self.thaw_daemon(number);
         }
-        for machine in &mut self.workers {
-            machine.cut = false;
+        for host in &mut self.workers {
+            host.cut = false;
         }
         while !self.detached.is_empty() {
-            self.late(0);
+            self.perform_detached(0);
         }
         for _ in 0..SETTLE_ROUNDS {
-            self.round();
+            self.run_round();
             self.check();
         }
     }
 }
 
+/// drift returns by how many thousandths a clock's rate exceeds the lowest one.
 fn drift(number: usize) -> u64 {
-    // Rates from 96% to 104% of true time.
+    // Rates range from 96% to 104% of true time.
     (number as u64 * 31) % (2 * MAX_DRIFT_MILLI)
 }
 
--- a/crates/stackpier-fuzz/src/placement/calls.rs
+++ b/crates/stackpier-fuzz/src/placement/calls.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Calls of daemons to the store and to workers, with the faults on their way.
+//! Calls of daemons to the store and to workers, and the faults of their
+//! delivery.
 
 use stackpier_coordination::effect::{Effect, Event, Note};
 use stackpier_core::{Name, key::Boot};
@@ -11,42 +12,50 @@
 };
 
 use super::{
-    DAEMONS, Guard, World,
+    DAEMONS, Mutation, Simulation,
     messages::{Body, Message},
     pick,
 };
 use crate::counts::{hit, trace};
 
-/// Target is the machine of a daemon that a call is made for.
+/// Target is the decision machine of a daemon that makes a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Target {
     Rack(Name),
     Homes(u16),
 }
 
-/// Work is what a call asks of the store or of a worker.
+/// Request is the content of a call to the store or to a worker.
 #[derive(Clone, Debug)]
-pub(super) enum Work {
+pub(super) enum Request {
     Read(Key),
     Swap(Key, Revision, Box<Page>),
     Sync(Name, Call),
 }
 
-/// Operation is a call under way from a daemon's machine.
+/// Operation is a call in flight from a daemon's decision machine.
 #[derive(Clone, Debug)]
 pub(super) struct Operation {
     pub daemon: usize,
     pub boot: Boot,
     pub target: Target,
-    pub work: Work,
+    pub request: Request,
 }
 
-impl World {
-    pub(super) fn effect(&mut self, daemon: usize, boot: Boot, target: Target, effect: Effect) {
-        let work = match effect {
-            Effect::Read(key) => Work::Read(key),
-            Effect::Swap(key, expect, page) => Work::Swap(key, expect, Box::new(page)),
-            Effect::Sync(worker, call) => Work::Sync(worker, call),
+impl Simulation {
+    /// perform_effect sends the call or hint that a decision machine asked for,
+    /// or counts its note.
+    pub(super) fn perform_effect(
+        &mut self,
+        daemon: usize,
+        boot: Boot,
+        target: Target,
+        effect: Effect,
+    ) {
+        let request = match effect {
+            Effect::Read(key) => Request::Read(key),
+            Effect::Swap(key, expect, page) => Request::Swap(key, expect, Box::new(page)),
+            Effect::Sync(worker, call) => Request::Sync(worker, call),
             Effect::Hint(hint) => {
                 for other in 0..DAEMONS {
                     self.messages.push(Message {
@@ -61,66 +70,71 @@
                 return;
             }
         };
-        self.under_way.push(Operation {
+        self.in_flight.push(Operation {
             daemon,
             boot,
             target,
-            work,
+            request,
         });
     }
 
-    pub(super) fn deliver(&mut self, n: u8, answered: bool) {
-        let Some(operation) = pick(&mut self.under_way, n) else {
+    /// deliver_call performs a call. The answer is lost unless `answered` is
+    /// set; a call to a worker that is cut off is detached.
+    pub(super) fn deliver_call(&mut self, n: u8, answered: bool) {
+        let Some(operation) = pick(&mut self.in_flight, n) else {
             return;
         };
-        if self.cut(&operation.work) {
+        if self.is_cut_off(&operation.request) {
             hit("fault: worker cut off");
-            self.answer(&operation, failure(&operation.work));
+            self.deliver_answer(&operation, failure_event(&operation.request));
             self.detached.push(operation);
             return;
         }
-        let event = self.perform(&operation.work);
+        let event = self.perform(&operation.request);
         match answered {
-            true => self.answer(&operation, event),
+            true => self.deliver_answer(&operation, event),
             false => {
                 hit("fault: answer lost after the call took effect");
-                self.answer(&operation, failure(&operation.work));
+                self.deliver_answer(&operation, failure_event(&operation.request));
             }
         }
     }
 
-    /// cut tells whether a call can't reach its worker now. It may reach it
-    /// later.
-    fn cut(&self, work: &Work) -> bool {
-        let Work::Sync(worker, _) = work else {
+    /// is_cut_off reports whether a call can't reach its worker now. It may
+    /// still reach it later.
+    fn is_cut_off(&self, request: &Request) -> bool {
+        let Request::Sync(worker, _) = request else {
             return false;
         };
-        let found = self.workers.iter().find(|machine| machine.name == *worker);
-        found.is_some_and(|machine| machine.cut)
+        let found = self.workers.iter().find(|host| host.name == *worker);
+        found.is_some_and(|host| host.cut)
     }
 
     pub(super) fn lose_call(&mut self, n: u8) {
-        let Some(operation) = pick(&mut self.under_way, n) else {
+        let Some(operation) = pick(&mut self.in_flight, n) else {
             return;
         };
         hit("fault: call lost");
-        self.answer(&operation, failure(&operation.work));
+        self.deliver_answer(&operation, failure_event(&operation.request));
     }
 
-    pub(super) fn detach(&mut self, n: u8) {
-        let Some(operation) = pick(&mut self.under_way, n) else {
+    /// detach_call reports a call as unanswered, and keeps it to be performed
+    /// later.
+    pub(super) fn detach_call(&mut self, n: u8) {
+        let Some(operation) = pick(&mut self.in_flight, n) else {
             return;
         };
         hit("fault: call delayed past its time-out");
-        self.answer(&operation, failure(&operation.work));
+        self.deliver_answer(&operation, failure_event(&operation.request));
         self.detached.push(operation);
     }
 
-    pub(super) fn late(&mut self, n: u8) {
+    /// perform_detached performs a detached call; nobody receives its answer.
+    pub(super) fn perform_detached(&mut self, n: u8) {
         let Some(operation) = pick(&mut self.detached, n) else {
             return;
         };
-        let event = self.perform(&operation.work);
+        let event = self.perform(&operation.request);
         match event {
             Event::Swapped(_, Swapped::Lost) => hit("branch: late swap lost"),
             Event::Swapped(_, Swapped::Won(_)) => hit("branch: late swap took effect"),
@@ -129,7 +143,10 @@
         }
     }
 
-    fn answer(&mut self, operation: &Operation, event: Event) {
+    /// deliver_answer gives an answer to the decision machine that made the
+    /// call. A frozen daemon receives it when it thaws; one that restarted or
+    /// ended never does.
+    fn deliver_answer(&mut self, operation: &Operation, event: Event) {
         let daemon = &mut self.daemons[operation.daemon];
         if daemon.dead || daemon.boot != operation.boot {
             return;
@@ -138,13 +155,14 @@
             daemon.inbox.push_back((operation.target, event));
             return;
         }
-        self.machine(operation.daemon, operation.target, event);
+        self.step_machine(operation.daemon, operation.target, event);
     }
 
-    /// perform carries out a call at the store or at a worker.
-    fn perform(&mut self, work: &Work) -> Event {
-        match work {
-            Work::Read(key) => Event::Read(
+    /// perform performs a call at the store or at a worker, and returns the
+    /// answer.
+    fn perform(&mut self, request: &Request) -> Event {
+        match request {
+            Request::Read(key) => Event::Read(
                 *key,
                 self.store
                     .get(key)
@@ -152,50 +170,49 @@
                         Fetched::Found(*revision, page.clone())
                     }),
             ),
-            Work::Swap(key, expect, page) => Event::Swapped(*key, self.swap(*key, *expect, page)),
-            Work::Sync(worker, call) => Event::Synced(*worker, self.sync(*worker, call)),
+            Request::Swap(key, expect, page) => {
+                Event::Swapped(*key, self.swap_page(*key, *expect, page))
+            }
+            Request::Sync(worker, call) => Event::Synced(*worker, self.sync_worker(*worker, call)),
         }
     }
 
-    fn swap(&mut self, key: Key, expect: Revision, page: &Page) -> Swapped {
+    fn swap_page(&mut self, key: Key, expect: Revision, page: &Page) -> Swapped {
         let current = self
             .store
             .get(&key)
             .map_or(ABSENT, |(revision, _)| *revision);
-        if current != expect && self.guard != Guard::NoCompare {
+        if current != expect && self.mutation != Mutation::NoCompare {
             hit("branch: swap lost");
             return Swapped::Lost;
         }
         self.revision += 1;
         let revision = Revision(self.revision);
         let mut page = page.clone();
-        if let (Guard::NoSettled, Page::Rack(rack)) = (self.guard, &mut page) {
+        if let (Mutation::NoSettledRevisions, Page::Rack(rack)) = (self.mutation, &mut page) {
             rack.settled.clear();
         }
         self.store.insert(key, (revision, page));
         Swapped::Won(revision)
     }
 
-    fn sync(&mut self, worker: Name, call: &Call) -> Option<Reply> {
+    fn sync_worker(&mut self, worker: Name, call: &Call) -> Option<Reply> {
         let time = self.time;
-        let machine = self
-            .workers
-            .iter_mut()
-            .find(|machine| machine.name == worker)?;
-        if machine.gone {
+        let host = self.workers.iter_mut().find(|host| host.name == worker)?;
+        if host.gone {
             return None;
         }
-        let now = WorkerClock(machine.clock.at(time).0);
+        let now = WorkerClock(host.clock.at(time).0);
         let mut call = call.clone();
-        match self.guard {
-            Guard::NoStaleCheck => call.clock = now,
-            Guard::NoLeaseWait => call.lease_ms *= 4,
-            Guard::Whole | Guard::NoCompare | Guard::NoSettled => {}
+        match self.mutation {
+            Mutation::NoStaleCheck => call.clock = now,
+            Mutation::NoLeaseWait => call.lease_ms *= 4,
+            Mutation::Original | Mutation::NoCompare | Mutation::NoSettledRevisions => {}
         }
         if now.0 > call.clock.0 + call.lease_ms && call.boot != Boot::default() {
             hit("branch: worker ignored a call older than its lease");
         }
-        Some(machine.model.sync(now, &call))
+        Some(host.model.sync(now, &call))
     }
 }
 
@@ -216,10 +233,11 @@
     }
 }
 
-fn failure(work: &Work) -> Event {
-    match work {
-        Work::Read(key) => Event::Read(*key, Fetched::Failed),
-        Work::Swap(key, ..) => Event::Swapped(*key, Swapped::Unclear),
-        Work::Sync(worker, _) => Event::Synced(*worker, None),
+/// failure_event returns the event of a call that got no answer.
+fn failure_event(request: &Request) -> Event {
+    match request {
+        Request::Read(key) => Event::Read(*key, Fetched::Failed),
+        Request::Swap(key, ..) => Event::Swapped(*key, Swapped::Unclear),
+        Request::Sync(worker, _) => Event::Synced(*worker, None),
     }
 }
--- a/crates/stackpier-fuzz/src/placement/check.rs
+++ b/crates/stackpier-fuzz/src/placement/check.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What must hold in the world of placement.
+//! The invariants of placement.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,43 +13,47 @@
     work::{Outcome, Run},
 };
 
-use super::{CAPACITY, DAEMONS, World, data_centre};
+use super::{CAPACITY, DAEMONS, Simulation, data_centre};
 use crate::counts::hit;
 
-impl World {
-    /// check asserts what must hold at any time.
+impl Simulation {
+    /// check asserts the invariants that hold at any time.
     pub fn check(&mut self) {
         let time = self.time;
-        for machine in &mut self.workers {
-            machine.model.advance(WorkerClock(machine.clock.at(time).0));
+        for host in &mut self.workers {
+            host.model.advance(WorkerClock(host.clock.at(time).0));
         }
-        self.check_one_place();
+        self.check_duplicates();
         self.check_capacity();
         self.check_pages();
-        self.check_chains();
+        self.check_runs();
     }
 
-    fn check_one_place(&self) {
+    /// check_duplicates asserts that no task runs twice at once.
+    fn check_duplicates(&self) {
         let mut seen: BTreeMap<Task, (Name, Run)> = BTreeMap::new();
-        for machine in &self.workers {
-            for (run, _) in machine.model.running() {
-                let before = seen.insert(run.task, (machine.name, run));
+        for host in &self.workers {
+            for (run, _) in host.model.running() {
+                let before = seen.insert(run.task, (host.name, run));
                 assert!(
                     before.is_none(),
                     "{run:?} runs on {} and {before:?}",
-                    machine.name
+                    host.name
                 );
             }
         }
     }
 
+    /// check_capacity asserts that no worker runs more than its capacity.
     fn check_capacity(&self) {
-        for machine in &self.workers {
-            let used: Size = machine.model.running().map(|(_, size)| size).sum();
-            assert!(used.fits(&CAPACITY), "{} runs {used:?}", machine.name);
+        for host in &self.workers {
+            let used: Size = host.model.running().map(|(_, size)| size).sum();
+            assert!(used.fits(&CAPACITY), "{} runs {used:?}", host.name);
         }
     }
 
+    /// check_pages asserts that no rack's page commits more to a worker than
+    /// its capacity.
     fn check_pages(&self) {
         for (_, page) in self.store.values() {
             let Page::Rack(rack) = page else { continue };
@@ -60,12 +64,12 @@
         }
     }
 
-    /// check_chains asserts that no run started twice, and that a run after an
-    /// eviction resumed from what the eviction saved.
-    fn check_chains(&self) {
+    /// check_runs asserts that no run started twice, and that the run after an
+    /// eviction resumed from the checkpoint that the evicted run saved.
+    fn check_runs(&self) {
         let mut runs: BTreeMap<Run, Span> = BTreeMap::new();
-        for machine in &self.workers {
-            for span in machine.past.iter().chain(machine.model.log()) {
+        for host in &self.workers {
+            for span in host.past.iter().chain(host.model.log()) {
                 let before = runs.insert(span.run, *span);
                 assert!(before.is_none(), "{:?} started twice", span.run);
             }
@@ -79,19 +83,19 @@
                 attempt: run.attempt.next(),
             };
             if let Some(next) = runs.get(&next) {
-                // The worker may have restarted before its word was heard;
-                // then the run counts as lost and its checkpoint with it.
-                let heard = self.ended_with_checkpoint(*run);
+                // If the worker restarted before its report was received, the
+                // run counts as lost, and its checkpoint too.
+                let recorded = self.ended_with_checkpoint(*run);
                 assert!(
-                    !heard || next.from == Some(saved),
-                    "{run:?} saved {saved:?}: {next:?}"
+                    !recorded || next.from == Some(saved),
+                    "{run:?} saved {saved:?}, but the next run did not resume from it: {next:?}"
                 );
             }
         }
     }
 
-    /// ended_with_checkpoint tells whether some rack's page still shows that
-    /// the run's checkpoint was recorded.
+    /// ended_with_checkpoint reports whether some rack's page still has the run
+    /// as ended with a checkpoint.
     fn ended_with_checkpoint(&self, run: Run) -> bool {
         self.store.values().any(|(_, page)| match page {
             Page::Rack(rack) => rack
@@ -101,9 +105,9 @@
         })
     }
 
-    /// check_rest asserts that after [`World::settle`] every wanted service
-    /// task runs, if there is room, and nothing unwanted does.
-    pub fn check_rest(&mut self) {
+    /// check_at_rest asserts that after [`Simulation::settle`] no other tasks
+    /// than those of wanted services run, and that these all run if they fit.
+    pub fn check_at_rest(&mut self) {
         let mut wanted: BTreeSet<Task> = BTreeSet::new();
         for (_, shard) in self.intents.values() {
             for object in shard.objects.iter().filter(|object| !object.cancelled) {
@@ -118,10 +122,10 @@
         let running: BTreeSet<Task> = self
             .workers
             .iter()
-            .flat_map(|machine| machine.model.running().map(|(run, _)| run.task))
+            .flat_map(|host| host.model.running().map(|(run, _)| run.task))
             .collect();
-        let room = self.room();
-        if wanted.len() <= room {
+        let fitting = self.count_fitting_tasks();
+        if wanted.len() <= fitting {
             let missing: Vec<&Task> = wanted.difference(&running).collect();
             assert!(missing.is_empty(), "not running at rest: {missing:?}");
             hit("rest: every wanted service task runs");
@@ -133,8 +137,9 @@
         );
     }
 
-    /// room returns how many service tasks fit on the workers that stay.
-    fn room(&self) -> usize {
+    /// count_fitting_tasks returns how many service tasks fit on the workers
+    /// that are neither leaving nor gone.
+    fn count_fitting_tasks(&self) -> usize {
         let live = self.roster.vms[DAEMONS..]
             .iter()
             .filter(|vm| vm.standing == Standing::Live);
--- a/crates/stackpier-fuzz/src/placement/daemon.rs
+++ b/crates/stackpier-fuzz/src/placement/daemon.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A daemon of the world: its decision machines, and the events they get.
+//! A simulated daemon: its decision machines, and the events that they receive.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,14 +15,14 @@
 use stackpier_state::{catalogue::Catalogue, holders::Member};
 
 use super::{
-    MAX_DRIFT_MILLI, RACKS, World, calls::Target, data_centre, drift, messages::take_report, name,
-    rack,
+    MAX_DRIFT_MILLI, RACKS, Simulation, calls::Target, data_centre, drift, messages::record_report,
+    name, rack,
 };
 use crate::time::Clock;
 
-/// SHARDS is the count of shards of homes.
+/// SHARDS is the number of shards of homes.
 const SHARDS: u16 = 2;
-/// OWNER are the owners' options of the fuzz.
+/// OWNER holds the options of the owners.
 const OWNER: owner::Options = owner::Options {
     lease_ms: 3_000,
     drift_ms: 600,
@@ -32,7 +32,7 @@
     shards: SHARDS,
 };
 
-/// PLACER are the placers' options of the fuzz.
+/// PLACER holds the options of the placers.
 const PLACER: placer::Options = placer::Options {
     commit_ms: 50,
     sweep_ms: 1_000,
@@ -42,7 +42,8 @@
     },
 };
 
-/// Daemon is the decision machines of one daemon, and what they share.
+/// Daemon holds the decision machines of one daemon, and the state that they
+/// share.
 #[derive(Debug)]
 pub(super) struct Daemon {
     pub boot: Boot,
@@ -58,9 +59,11 @@
     pub inbox: VecDeque<(Target, Event)>,
 }
 
-impl World {
-    pub(super) fn fresh(&mut self, number: usize) -> Daemon {
-        let boot = self.boot();
+impl Simulation {
+    /// new_daemon returns a daemon that has just started and knows only the
+    /// roster.
+    pub(super) fn new_daemon(&mut self, number: usize) -> Daemon {
+        let boot = self.next_boot();
         let me = Member {
             vm: name(&format!("entry-{number}")),
             boot,
@@ -88,20 +91,22 @@
         }
     }
 
+    /// tick gives a tick to all decision machines of a daemon.
     pub(super) fn tick(&mut self, number: usize) {
         if self.daemons[number].frozen || self.daemons[number].dead {
             return;
         }
-        for place in 0..RACKS {
-            self.machine(number, Target::Rack(rack(place)), Event::Tick);
+        for rack_number in 0..RACKS {
+            self.step_machine(number, Target::Rack(rack(rack_number)), Event::Tick);
         }
         for shard in 0..SHARDS {
-            self.machine(number, Target::Homes(shard), Event::Tick);
+            self.step_machine(number, Target::Homes(shard), Event::Tick);
         }
     }
 
-    /// machine gives one event to one machine and takes its effects.
-    pub(super) fn machine(&mut self, number: usize, target: Target, event: Event) {
+    /// step_machine gives one event to one decision machine of a daemon, and
+    /// performs the effects that it returns.
+    pub(super) fn step_machine(&mut self, number: usize, target: Target, event: Event) {
         let time = self.time;
         let daemon = &mut self.daemons[number];
         let now = daemon.clock.at(time);
@@ -132,10 +137,10 @@
             .collect();
         reports
             .into_iter()
-            .for_each(|report| take_report(daemon, report));
+            .for_each(|report| record_report(daemon, report));
         let boot = daemon.boot;
         for effect in effects {
-            self.effect(number, boot, target, effect);
+            self.perform_effect(number, boot, target, effect);
         }
     }
 }
--- a/crates/stackpier-fuzz/src/placement/faults.rs
+++ b/crates/stackpier-fuzz/src/placement/faults.rs
@@ -1,38 +1,42 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Faults of daemons and workers: frozen, restarted, leaving and gone.
+//! Faults of daemons and workers: freezes, restarts, and VMs that leave or are
+//! gone.
 
 use stackpier_protocol::platform::Standing;
 use stackpier_standin::worker::Worker;
 
-use super::{DAEMONS, RACKS, World};
+use super::{DAEMONS, RACKS, Simulation};
 use crate::counts::hit;
 
-impl World {
-    pub(super) fn freeze(&mut self, number: usize) {
+impl Simulation {
+    pub(super) fn freeze_daemon(&mut self, number: usize) {
         if !self.daemons[number].frozen {
             hit("fault: daemon frozen");
         }
         self.daemons[number].frozen = true;
     }
 
-    pub(super) fn thaw(&mut self, number: usize) {
+    /// thaw_daemon lets a frozen daemon run on, and gives it the answers that
+    /// came meanwhile.
+    pub(super) fn thaw_daemon(&mut self, number: usize) {
         self.daemons[number].frozen = false;
         if self.daemons[number].dead {
             return;
         }
         while let Some((target, event)) = self.daemons[number].inbox.pop_front() {
-            self.machine(number, target, event);
+            self.step_machine(number, target, event);
         }
     }
 
-    pub(super) fn restart(&mut self, number: usize) {
+    pub(super) fn restart_daemon(&mut self, number: usize) {
         if self.daemons[number].dead {
             return;
         }
         hit("fault: daemon restarted");
-        self.daemons[number] = self.fresh(number);
+        self.daemons[number] = self.new_daemon(number);
     }
 
+    /// end_daemon ends a daemon for good, unless it is the last one.
     pub(super) fn end_daemon(&mut self, number: usize) {
         let living = self.daemons.iter().filter(|daemon| !daemon.dead).count();
         if living <= 1 || self.daemons[number].dead {
@@ -43,14 +47,16 @@
         self.roster.vms[number].standing = Standing::Gone;
     }
 
-    pub(super) fn reboot(&mut self, number: usize) {
+    pub(super) fn restart_worker(&mut self, number: usize) {
         if self.workers[number].gone {
             return;
         }
         hit("fault: worker restarted");
-        self.replace(number);
+        self.replace_worker(number);
     }
 
+    /// list_worker changes the standing of a worker in the roster. A worker that
+    /// is gone stays gone.
     pub(super) fn list_worker(&mut self, number: usize, standing: Standing) {
         let row = &mut self.roster.vms[DAEMONS + number];
         if row.standing != Standing::Gone {
@@ -58,23 +64,24 @@
         }
     }
 
-    /// end_worker keeps one worker of each rack, so that work can go on.
+    /// end_worker ends a worker for good. The first worker of each rack is kept,
+    /// so that tasks can still be placed.
     pub(super) fn end_worker(&mut self, number: usize) {
         if number < RACKS || self.workers[number].gone {
             return;
         }
         hit("fault: worker gone");
         self.workers[number].gone = true;
-        self.replace(number);
+        self.replace_worker(number);
         self.list_worker(number, Standing::Gone);
     }
 
-    /// replace starts a worker anew and keeps the log of what it ran.
-    fn replace(&mut self, number: usize) {
-        let boot = self.boot();
-        let machine = &mut self.workers[number];
-        let fresh = Worker::new(machine.name, boot);
-        let old = std::mem::replace(&mut machine.model, fresh);
-        machine.past.extend(old.log());
+    /// replace_worker restarts a worker and keeps the log of what it ran.
+    fn replace_worker(&mut self, number: usize) {
+        let boot = self.next_boot();
+        let host = &mut self.workers[number];
+        let restarted = Worker::new(host.name, boot);
+        let old = std::mem::replace(&mut host.model, restarted);
+        host.past.extend(old.log());
     }
 }
--- a/crates/stackpier-fuzz/src/placement/intents.rs
+++ b/crates/stackpier-fuzz/src/placement/intents.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What is wanted of the world: services and batch jobs.
+//! The intents of the simulation: services and batch jobs.
 
 use stackpier_coordination::accept::{Change, Wanted};
 use stackpier_core::{Name, Size, Unix};
@@ -8,10 +8,11 @@
     intent::{Batch, Intent, Kind, Service},
 };
 
-use super::{World, data_centre, name};
+use super::{Simulation, data_centre, name};
 
-impl World {
-    pub(super) fn scale(&mut self, n: u8, count: u8) {
+impl Simulation {
+    /// scale_service submits a service with this number of replicas, modulo 4.
+    pub(super) fn scale_service(&mut self, n: u8, count: u8) {
         let label = name(&format!("service-{}", n % 2));
         let replicas = [(data_centre(), u32::from(count % 4))]
             .into_iter()
@@ -20,10 +21,10 @@
             replicas,
             latency_target_ms: 50,
         });
-        self.change(Wanted::Submit(intent(label, 1_500, kind)));
+        self.apply_change(Wanted::Submit(new_intent(label, 1_500, kind)));
     }
 
-    pub(super) fn submit(&mut self, n: u8) {
+    pub(super) fn submit_batch(&mut self, n: u8) {
         let label = name(&format!("batch-{}", n % 3));
         let kind = Kind::Batch(Batch {
             data_centre: data_centre(),
@@ -32,16 +33,17 @@
             checkpointable: true,
             run_time_ms: 2_000,
         });
-        self.change(Wanted::Submit(intent(label, 1_000, kind)));
+        self.apply_change(Wanted::Submit(new_intent(label, 1_000, kind)));
     }
 
-    pub(super) fn cancel(&mut self, n: u8) {
+    pub(super) fn cancel_intent(&mut self, n: u8) {
         let labels = ["service-0", "service-1", "batch-0", "batch-1", "batch-2"];
         let label = labels[usize::from(n) % labels.len()];
-        self.change(Wanted::Cancel(name(label)));
+        self.apply_change(Wanted::Cancel(name(label)));
     }
 
-    fn change(&mut self, wanted: Wanted) {
+    /// apply_change stores a change as accepted.
+    fn apply_change(&mut self, wanted: Wanted) {
         self.submissions += 1;
         let change = Change {
             submission: self.submissions,
@@ -56,7 +58,8 @@
         }
     }
 
-    pub(super) fn learn(&mut self, number: usize) {
+    /// learn_intents gives a daemon all accepted intents.
+    pub(super) fn learn_intents(&mut self, number: usize) {
         for (shard, (revision, page)) in &self.intents {
             self.daemons[number]
                 .catalogue
@@ -64,15 +67,16 @@
         }
     }
 
-    pub(super) fn learn_list(&mut self, number: usize) {
+    /// learn_roster gives a daemon the list of VMs, unless it is frozen.
+    pub(super) fn learn_roster(&mut self, number: usize) {
         if !self.daemons[number].frozen {
             self.daemons[number].table.list(self.roster.clone());
         }
     }
 }
 
-/// intent builds an intent of the one team there is.
-fn intent(label: Name, milli_cores: u32, kind: Kind) -> Intent {
+/// new_intent builds an intent of the only team.
+fn new_intent(label: Name, milli_cores: u32, kind: Kind) -> Intent {
     Intent {
         name: label,
         team: name("team-a"),
--- a/crates/stackpier-fuzz/src/placement/messages.rs
+++ b/crates/stackpier-fuzz/src/placement/messages.rs
@@ -4,25 +4,26 @@
 use stackpier_coordination::{effect::Event, owner::Owner};
 use stackpier_protocol::peer::{Claims, Heartbeat, Hint, RackReport};
 
-use super::{World, calls::Target, daemon::Daemon, data_centre, pick};
+use super::{Simulation, calls::Target, daemon::Daemon, data_centre, pick};
 use crate::counts::hit;
 
-/// Message is on its way to a daemon.
+/// Message is a heartbeat or hint in flight to a daemon.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     pub(super) to: usize,
     pub(super) body: Body,
 }
 
-/// Body is what daemons tell each other.
+/// Body is the content of a message.
 #[derive(Clone, Debug)]
 pub(super) enum Body {
     Beat(Box<Heartbeat>),
     Hint(Hint),
 }
 
-impl World {
-    pub(super) fn beat(&mut self, from: usize, to: usize) {
+impl Simulation {
+    /// send_heartbeat sends a heartbeat from one daemon to another.
+    pub(super) fn send_heartbeat(&mut self, from: usize, to: usize) {
         let daemon = &self.daemons[from];
         if from == to || daemon.frozen || daemon.dead {
             return;
@@ -52,30 +53,34 @@
         });
     }
 
-    pub(super) fn arrive(&mut self, n: u8) {
+    pub(super) fn deliver_message(&mut self, n: u8) {
         if let Some(message) = pick(&mut self.messages, n) {
-            self.take(message);
+            self.receive(message);
         }
     }
 
-    /// hold keeps a copy of a placer's word under way.
-    pub(super) fn hold(&mut self, n: u8) {
-        let claims = |message: &&Message| matches!(message.body, Body::Hint(Hint::Claims(_)));
-        let words: Vec<Message> = self.messages.iter().filter(claims).cloned().collect();
-        if !words.is_empty() {
-            self.held.push(words[usize::from(n) % words.len()].clone());
+    /// hold_back keeps a copy of a placer's claims that are in flight. The
+    /// original arrives as usual.
+    pub(super) fn hold_back(&mut self, n: u8) {
+        let is_claims = |message: &&Message| matches!(message.body, Body::Hint(Hint::Claims(_)));
+        let candidates: Vec<Message> = self.messages.iter().filter(is_claims).cloned().collect();
+        if !candidates.is_empty() {
+            self.held_back
+                .push(candidates[usize::from(n) % candidates.len()].clone());
         }
     }
 
-    pub(super) fn release(&mut self, n: u8) {
-        if let Some(message) = pick(&mut self.held, n) {
+    /// release_held_back delivers a copy that was held back.
+    pub(super) fn release_held_back(&mut self, n: u8) {
+        if let Some(message) = pick(&mut self.held_back, n) {
             hit("fault: placer's word arrived late");
-            self.take(message);
+            self.receive(message);
         }
     }
 
-    /// take has a message served by its daemon, unless that is frozen or over.
-    pub(super) fn take(&mut self, message: Message) {
+    /// receive lets a daemon process a message. A daemon that is frozen or has
+    /// ended loses it.
+    pub(super) fn receive(&mut self, message: Message) {
         let to = message.to;
         let time = self.time;
         let daemon = &mut self.daemons[to];
@@ -85,17 +90,17 @@
         match message.body {
             Body::Hint(hint) => match hint {
                 Hint::Claims(Claims { rack, .. }) | Hint::TakenOver { rack, .. } => {
-                    self.machine(to, Target::Rack(rack), Event::Hint(hint));
+                    self.step_machine(to, Target::Rack(rack), Event::Hint(hint));
                 }
                 Hint::Ended { shard, .. } => {
-                    self.machine(to, Target::Homes(shard), Event::Hint(hint));
+                    self.step_machine(to, Target::Homes(shard), Event::Hint(hint));
                 }
                 Hint::Holders => {}
             },
             Body::Beat(beat) => {
                 daemon.table.heard(daemon.clock.at(time), &beat);
                 for report in beat.racks {
-                    take_report(daemon, report);
+                    record_report(daemon, report);
                 }
                 for promise in beat.renounced {
                     if let Some(owner) = daemon.owners.get_mut(&promise.rack) {
@@ -108,8 +113,8 @@
     }
 }
 
-/// take_report keeps a rack's report if it is newer than the known one.
-pub(super) fn take_report(daemon: &mut Daemon, report: RackReport) {
+/// record_report records a rack's report if it is newer than the known one.
+pub(super) fn record_report(daemon: &mut Daemon, report: RackReport) {
     let order = |report: &RackReport| (report.term, report.change);
     let known = daemon.racks.get(&report.rack).map(order);
     if known.is_none_or(|known| known < order(&report)) {
--- a/crates/stackpier-fuzz/src/placement/step.rs
+++ b/crates/stackpier-fuzz/src/placement/step.rs
@@ -1,59 +1,62 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What may happen in the world of placement, and the rules that a test can
-//! take away.
+//! The transitions of the simulation, and the safety rules that a test can
+//! disable.
 
-/// Guard is a safety rule that a test can take away, to see the oracle fail.
+/// Mutation is a safety rule that is disabled, to check that the oracle detects
+/// its absence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Guard {
-    /// All rules stand.
+pub enum Mutation {
+    /// No rule is disabled.
     #[default]
-    Whole,
-    /// The store takes a swap at any revision.
+    Original,
+    /// The store accepts a swap at any revision.
     NoCompare,
-    /// Workers keep a lease longer than its renewer waits for.
+    /// Workers keep a lease for longer than its renewer waits.
     NoLeaseWait,
-    /// The worker takes calls that are older than their lease.
+    /// Workers accept calls that are older than their lease.
     NoStaleCheck,
-    /// A rack's page forgets by which revision ended rows were dropped.
-    NoSettled,
+    /// A rack's page does not record by which revision of the homes ended rows
+    /// were dropped, so that older claims are accepted again.
+    NoSettledRevisions,
 }
 
-/// Step is one transition. Numbers choose among what is there.
+/// Step is one transition. Its numbers select one of the daemons, workers,
+/// calls or messages that exist at that time.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// Let a daemon look at the clock.
+    /// Give a tick to all decision machines of a daemon.
     Tick(u8),
     /// Let time pass, in milliseconds.
     Wait(u16),
-    /// Carry out a call and deliver its answer.
+    /// Perform a call and deliver its answer.
     Deliver(u8),
-    /// Carry out a call and lose its answer.
+    /// Perform a call and lose its answer.
     LoseAnswer(u8),
     /// Lose a call.
     LoseCall(u8),
-    /// Report a call as unanswered and carry it out later.
+    /// Report a call as unanswered and perform it later.
     Detach(u8),
-    /// Carry out a call that was detached.
+    /// Perform a call that was detached.
     Late(u8),
     /// Freeze a daemon.
     Freeze(u8),
     /// Thaw a daemon.
     Thaw(u8),
-    /// End a daemon and start it anew with nothing.
+    /// Restart a daemon; it loses its state.
     Restart(u8),
-    /// Send a heartbeat.
+    /// Send a heartbeat from one daemon to another.
     Beat(u8, u8),
-    /// Deliver a heartbeat or hint under way.
+    /// Deliver a heartbeat or hint in flight.
     Arrive(u8),
-    /// Hold a message back; a copy arrives as usual.
+    /// Hold back a copy of a placer's claims; the original arrives as usual.
     Hold(u8),
-    /// Deliver a message that was held back.
+    /// Deliver a copy that was held back.
     Release(u8),
-    /// Lose a heartbeat or hint under way.
+    /// Lose a heartbeat or hint in flight.
     Vanish(u8),
-    /// Start a worker anew.
+    /// Restart a worker; its runs end.
     Reboot(u8),
-    /// Cut a worker off from all daemons, or heal it.
+    /// Cut a worker off from all daemons, or connect it again.
     Cut(u8, bool),
     /// List a worker as leaving.
     Leave(u8),
@@ -61,7 +64,7 @@
     Gone(u8),
     /// End a daemon and list its VM as gone.
     Lost(u8),
-    /// Want this many replicas of a service.
+    /// Submit a service with this number of replicas.
     Scale(u8, u8),
     /// Submit a batch job.
     Submit(u8),
@@ -71,6 +74,7 @@
     Learn(u8),
     /// Give a daemon the list of VMs.
     List(u8),
-    /// A fault-free stretch: everybody looks, all calls and messages arrive.
+    /// Run a few rounds without new faults: all daemons tick, all calls and
+    /// messages arrive.
     Calm(u8),
 }
--- a/crates/stackpier-fuzz/tests/config.rs
+++ b/crates/stackpier-fuzz/tests/config.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Stateful fuzz of accepted intents: in force everywhere, never going back,
-//! and what was refused never stored.
+//! Stateful fuzz of operators' changes: accepted changes reach all daemons, no
+//! daemon goes back to an older revision, and refused changes are never stored.
 
 mod common;
 
@@ -8,19 +8,19 @@
 use proptest_state_machine::{StateMachineTest, prop_state_machine};
 use rstest::rstest;
 use stackpier_fuzz::{
-    config::{Guard, Step, World},
+    config::{Mutation, Simulation, Step},
     counts,
 };
 
-/// CASES is used unless PROPTEST_CASES names another count.
+/// CASES is the number of cases, unless PROPTEST_CASES sets another one.
 const CASES: u32 = 800;
 
 /// step generates one transition.
 fn step() -> impl Strategy<Value = Step> {
-    let three = || (any::<u8>(), any::<u8>(), any::<u8>());
+    let three_bytes = || (any::<u8>(), any::<u8>(), any::<u8>());
     prop_oneof![
-        4 => three().prop_map(|(n, expect, size)| Step::Submit(n, expect, size)),
-        1 => three().prop_map(|(n, expect, size)| Step::Cancel(n, expect, size)),
+        4 => three_bytes().prop_map(|(n, expect, size)| Step::Submit(n, expect, size)),
+        1 => three_bytes().prop_map(|(n, expect, size)| Step::Cancel(n, expect, size)),
         12 => any::<u8>().prop_map(Step::Serve),
         2 => any::<u8>().prop_map(Step::LoseAnswer),
         1 => any::<u8>().prop_map(Step::Lose),
@@ -35,35 +35,36 @@
 
 oracle!(Step, Just(0_usize));
 
-struct InForce;
+/// AcceptedIntents connects the simulation to the state machine test.
+struct AcceptedIntents;
 
-impl StateMachineTest for InForce {
-    type SystemUnderTest = World;
+impl StateMachineTest for AcceptedIntents {
+    type SystemUnderTest = Simulation;
     type Reference = Oracle;
 
-    fn init_test(_: &usize) -> World {
+    fn init_test(_: &usize) -> Simulation {
         counts::hit("cases");
-        World::new(Guard::Whole)
+        Simulation::new(Mutation::Original)
     }
 
-    fn apply(mut world: World, _: &usize, step: Step) -> World {
+    fn apply(mut simulation: Simulation, _: &usize, step: Step) -> Simulation {
         counts::hit("transitions");
-        world.step(step);
-        world
+        simulation.step(step);
+        simulation
     }
 
-    fn teardown(mut world: World, _: usize) {
-        world.settle();
+    fn teardown(mut simulation: Simulation, _: usize) {
+        simulation.settle();
     }
 }
 
 prop_state_machine! {
     #![proptest_config(common::config(CASES, "regressions/config.txt"))]
-    fn run_config(sequential 50..200 => InForce);
+    fn run_config(sequential 50..200 => AcceptedIntents);
 }
 
 #[test]
-fn accepted_is_in_force_and_never_reverts_refused_never_is() {
+fn accepted_changes_persist_and_refused_changes_are_never_stored() {
     run_config();
     counts::print("accepted intents");
     counts::require(&[
@@ -79,14 +80,17 @@
 }
 
 #[rstest]
-#[case::no_answer_taken_as_refused(Guard::UnclearIsRefused)]
-#[case::any_page_taken(Guard::TakeAny)]
-#[case::submission_not_looked_for(Guard::NoSubmission)]
-fn oracle_sees_a_missing_guard(#[case] guard: Guard) {
+#[case::missing_answer_counts_as_refused(Mutation::UnclearIsRefused)]
+#[case::stale_page_accepted(Mutation::AcceptStalePage)]
+#[case::submission_not_looked_up(Mutation::NoSubmissionLookup)]
+fn oracle_detects_a_disabled_rule(#[case] mutation: Mutation) {
     let run = |steps: Vec<Step>| {
-        let mut world = World::new(guard);
-        steps.into_iter().for_each(|step| world.step(step));
-        world.settle();
+        let mut simulation = Simulation::new(mutation);
+        steps.into_iter().for_each(|step| simulation.step(step));
+        simulation.settle();
     };
-    assert!(common::fails(step(), 200, run), "{guard:?} was not seen");
+    assert!(
+        common::fails(step(), 200, run),
+        "{mutation:?} was not detected"
+    );
 }
--- a/crates/stackpier-fuzz/tests/once.rs
+++ b/crates/stackpier-fuzz/tests/once.rs
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Stateful fuzz of requests that run at most once, and of "not run" being
-//! true: repeats through other daemons and data centres, holders that restart
-//! or freeze, maps that change, lost and late messages, clocks that differ.
+//! Stateful fuzz of requests that run at most once. It also checks that a
+//! request whose caller received "not run" did not run. The faults: repeats
+//! through other daemons and data centres, holders that restart or freeze, maps
+//! that change, messages that are lost or late, clocks that differ.
 
 mod common;
 
@@ -10,10 +11,10 @@
 use rstest::rstest;
 use stackpier_fuzz::{
     counts,
-    once::{Guard, Step, World},
+    once::{Mutation, Simulation, Step},
 };
 
-/// CASES is used unless PROPTEST_CASES names another count.
+/// CASES is the number of cases, unless PROPTEST_CASES sets another one.
 const CASES: u32 = 600;
 
 /// step generates one transition.
@@ -43,24 +44,25 @@
     ]
 }
 
-// The state is the count of data centres.
+// The state is the number of data centres.
 oracle!(Step, (2..4_usize));
 
+/// AtMostOnce connects the simulation to the state machine test.
 struct AtMostOnce;
 
 impl StateMachineTest for AtMostOnce {
-    type SystemUnderTest = World;
+    type SystemUnderTest = Simulation;
     type Reference = Oracle;
 
-    fn init_test(centres: &usize) -> World {
+    fn init_test(centres: &usize) -> Simulation {
         counts::hit("cases");
-        World::new(Guard::Whole, *centres)
+        Simulation::new(Mutation::Original, *centres)
     }
 
-    fn apply(mut world: World, _: &usize, step: Step) -> World {
+    fn apply(mut simulation: Simulation, _: &usize, step: Step) -> Simulation {
         counts::hit("transitions");
-        world.step(step);
-        world
+        simulation.step(step);
+        simulation
     }
 }
 
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn request_runs_at_most_once_and_not_run_is_true() {
+fn requests_run_at_most_once_and_not_run_answers_are_true() {
     run_once();
     counts::print("at most once");
     counts::require(&[
@@ -87,14 +89,17 @@
 }
 
 #[rstest]
-#[case::earlier_holders_not_asked(Guard::NoEarlierHolders)]
-#[case::other_data_centres_not_asked(Guard::NoOtherCentres)]
-#[case::silence_taken_as_free(Guard::SilenceIsFree)]
-#[case::version_retired_when_the_next_is_written(Guard::RetireAtOnce)]
-fn oracle_sees_a_missing_guard(#[case] guard: Guard) {
+#[case::earlier_holders_not_asked(Mutation::NoEarlierHolders)]
+#[case::other_data_centres_not_asked(Mutation::NoOtherDataCentres)]
+#[case::silence_counts_as_no_record(Mutation::SilenceIsNoRecord)]
+#[case::version_retired_when_next_is_written(Mutation::RetireImmediately)]
+fn oracle_detects_a_disabled_rule(#[case] mutation: Mutation) {
     let run = |steps: Vec<Step>| {
-        let mut world = World::new(guard, 2);
-        steps.into_iter().for_each(|step| world.step(step));
+        let mut simulation = Simulation::new(mutation, 2);
+        steps.into_iter().for_each(|step| simulation.step(step));
     };
-    assert!(common::fails(step(), 400, run), "{guard:?} was not seen");
+    assert!(
+        common::fails(step(), 400, run),
+        "{mutation:?} was not detected"
+    );
 }
--- a/crates/stackpier-fuzz/tests/placement.rs
+++ b/crates/stackpier-fuzz/tests/placement.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Stateful fuzz of placement: no worker over-committed, no task in two
-//! places, evicted work resumed once, under kills, freezes, lost and late
-//! calls, and races.
+//! Stateful fuzz of placement: no worker runs more than its capacity, no task
+//! runs on two workers, and an evicted run resumes once from its checkpoint. The
+//! faults: restarts, freezes, lost and late calls, and races.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use rstest::rstest;
 use stackpier_fuzz::{
     counts,
-    placement::{Guard, Step, World},
+    placement::{Mutation, Simulation, Step},
 };
 
-/// CASES is used unless PROPTEST_CASES names another count.
+/// CASES is the number of cases, unless PROPTEST_CASES sets another one.
 const CASES: u32 = 96;
 
 /// step generates one transition.
@@ -50,27 +50,28 @@
 
 oracle!(Step, Just(0_usize));
 
+/// Placement connects the simulation to the state machine test.
 struct Placement;
 
 impl StateMachineTest for Placement {
-    type SystemUnderTest = World;
+    type SystemUnderTest = Simulation;
     type Reference = Oracle;
 
-    fn init_test(_: &usize) -> World {
+    fn init_test(_: &usize) -> Simulation {
         counts::hit("cases");
-        World::new(Guard::Whole)
+        Simulation::new(Mutation::Original)
     }
 
-    fn apply(mut world: World, _: &usize, step: Step) -> World {
+    fn apply(mut simulation: Simulation, _: &usize, step: Step) -> Simulation {
         counts::hit("transitions");
-        world.step(step);
-        world.check();
-        world
+        simulation.step(step);
+        simulation.check();
+        simulation
     }
 
-    fn teardown(mut world: World, _: usize) {
-        world.settle();
-        world.check_rest();
+    fn teardown(mut simulation: Simulation, _: usize) {
+        simulation.settle();
+        simulation.check_at_rest();
     }
 }
 
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn no_worker_over_committed_no_task_in_two_places_evicted_resumes_once() {
+fn no_overcommit_no_duplicate_run_and_evicted_runs_resume_once() {
     run_placement();
     counts::print("placement");
     counts::require(&[
@@ -96,17 +97,20 @@
 }
 
 #[rstest]
-#[case::swap_without_compare(Guard::NoCompare)]
-#[case::lease_longer_than_the_wait(Guard::NoLeaseWait)]
-#[case::late_calls_renew(Guard::NoStaleCheck)]
-#[case::late_claims_are_taken(Guard::NoSettled)]
-fn oracle_sees_a_missing_guard(#[case] guard: Guard) {
+#[case::swap_without_compare(Mutation::NoCompare)]
+#[case::lease_longer_than_the_wait(Mutation::NoLeaseWait)]
+#[case::late_calls_renew(Mutation::NoStaleCheck)]
+#[case::late_claims_are_accepted(Mutation::NoSettledRevisions)]
+fn oracle_detects_a_disabled_rule(#[case] mutation: Mutation) {
     let run = |steps: Vec<Step>| {
-        let mut world = World::new(guard);
+        let mut simulation = Simulation::new(mutation);
         for step in steps {
-            world.step(step);
-            world.check();
+            simulation.step(step);
+            simulation.check();
         }
     };
-    assert!(common::fails(step(), 300, run), "{guard:?} was not seen");
+    assert!(
+        common::fails(step(), 300, run),
+        "{mutation:?} was not detected"
+    );
 }
