--- a/crates/stackpier-fuzz/src/config/step.rs
+++ b/crates/stackpier-fuzz/src/config/step.rs
@@ -15,7 +15,7 @@
     /// the known one.
     AcceptStalePage,
     /// A swap is tried once: without an answer the change counts as refused,
-    /// and nobody looks for its submission in the stored page.
+    /// and its submission is not looked up in the stored page.
     NoSubmissionLookup,
 }
 
@@ -39,7 +39,8 @@
     Detach(u8),
     /// A detached swap is performed.
     Late(u8),
-    /// The store reads the page for a daemon.
+    /// The store answers a read of the page for a daemon; the answer is still in
+    /// flight.
     Read(u8),
     /// A page that was read reaches its daemon, even if it has changed since.
     Arrive(u8),
--- a/crates/stackpier-fuzz/src/once.rs
+++ b/crates/stackpier-fuzz/src/once.rs
@@ -74,7 +74,7 @@
     /// Messages that their senders consider lost and that still arrive.
     detached: Vec<Message>,
     dispatched: Vec<Dispatch>,
-    /// Requests that the receiver considers broken and that still run.
+    /// Requests whose outcome was reported as unknown, and that still run.
     delayed: Vec<Dispatch>,
     /// How often the request of each key ran.
     executions: BTreeMap<Key, u32>,
@@ -197,7 +197,7 @@
     }
 
     /// start_first_attempt makes a key and sends its first attempt, which
-    /// arrives at once or `late`.
+    /// arrives at once unless `late` is set.
     fn start_first_attempt(&mut self, n: u8, late: bool) {
         if self.keys.len() >= MAX_KEYS {
             return;
--- a/crates/stackpier-fuzz/src/once/step.rs
+++ b/crates/stackpier-fuzz/src/once/step.rs
@@ -47,9 +47,10 @@
     RunBroken(u8),
     /// An upstream refuses a request.
     Refuse(u8),
-    /// A request is reported as broken and runs later.
+    /// The connection of a request breaks: its outcome is reported as unknown,
+    /// and it runs later.
     RunLater(u8),
-    /// A request that was reported as broken runs at its upstream.
+    /// A request whose connection broke runs at its upstream.
     RunNow(u8),
     /// A daemon reads its data centre's map and acknowledges it.
     Learn(u8),
--- a/crates/stackpier-fuzz/src/once/upstream.rs
+++ b/crates/stackpier-fuzz/src/once/upstream.rs
@@ -95,7 +95,8 @@
         self.record_answer(dispatch.attempt, Ran::No);
     }
 
-    /// delay_request reports a request as broken and keeps it to run later.
+    /// delay_request reports the outcome of a request as unknown, and keeps the
+    /// request to run later.
     pub(super) fn delay_request(&mut self, n: u8) {
         let Some(dispatch) = self.take_dispatch(n) else {
             return;
--- a/crates/stackpier-fuzz/src/placement/calls.rs
+++ b/crates/stackpier-fuzz/src/placement/calls.rs
@@ -158,7 +158,7 @@
         self.step_machine(operation.daemon, operation.target, event);
     }
 
-    /// perform performs a call at the store or at a worker, and returns the
+    /// perform executes a call at the store or at a worker, and returns the
     /// answer.
     fn perform(&mut self, request: &Request) -> Event {
         match request {
--- a/crates/stackpier-fuzz/src/placement/faults.rs
+++ b/crates/stackpier-fuzz/src/placement/faults.rs
@@ -16,7 +16,7 @@
         self.daemons[number].frozen = true;
     }
 
-    /// thaw_daemon lets a frozen daemon run on, and gives it the answers that
+    /// thaw_daemon lets a frozen daemon continue, and gives it the answers that
     /// came meanwhile.
     pub(super) fn thaw_daemon(&mut self, number: usize) {
         self.daemons[number].frozen = false;
--- a/crates/stackpier-fuzz/src/placement/messages.rs
+++ b/crates/stackpier-fuzz/src/placement/messages.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// hold_back keeps a copy of a placer's claims that are in flight. The
-    /// original arrives as usual.
+    /// hold_back copies a hint in flight with a placer's claims, to be delivered
+    /// later as well. The original arrives as usual.
     pub(super) fn hold_back(&mut self, n: u8) {
         let is_claims = |message: &&Message| matches!(message.body, Body::Hint(Hint::Claims(_)));
         let candidates: Vec<Message> = self.messages.iter().filter(is_claims).cloned().collect();
--- a/crates/stackpier-fuzz/tests/placement.rs
+++ b/crates/stackpier-fuzz/tests/placement.rs
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Stateful fuzz of placement: no worker runs more than its capacity, no task
 //! runs on two workers, and an evicted run resumes once from its checkpoint. The
-//! faults: restarts, freezes, lost and late calls, and races.
+//! faults: daemons and workers that restart or end, freezes, lost and late calls,
+//! and races.
 
 mod common;
 
