--- a/crates/stackpier-scheduler/src/member.rs
+++ b/crates/stackpier-scheduler/src/monitor.rs
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The other daemons: who there is, who owns the cell, and when to take over.
+//! Heartbeats to the cell's owner, and the take-over of the cell when the owner fails.
 //!
-//! Followers send heartbeats to the owner. When it does not answer, the
-//! daemons step in by rank: each waits a little longer than the one before it.
-//! A candidate first asks the others whether they hear the owner. The store
-//! decides: the ownership is changed by compare-and-swap, and its fence rises.
+//! Followers send heartbeats to the owner. When it does not answer, the daemons try to take
+//! over by rank: each waits a little longer than the one ranked before it. A candidate
+//! first asks the others whether they still reach the owner. The store decides: the
+//! ownership is changed by compare-and-swap, and its fence rises with each change.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::{
     Platform,
     cluster::Cluster,
-    handover::Earlier,
+    handover::Predecessor,
     keys::{self, Member, OWNER, Ownership},
     link::{Alive, Heartbeat, Request, Response},
     node::{Node, Owned, Registered, pause},
@@ -25,44 +25,44 @@
 
 /// HEARTBEAT_MS is the time between two heartbeats.
 const HEARTBEAT_MS: u64 = 250;
-/// WATCHERS is how many daemons, those that would take over first, send a heartbeat each
-/// time. The others' would be of no use sooner: they wait for seconds before they take
-/// over. 96 followers on one interval send 390 heartbeats a second; without most of them,
-/// and with fewer log lines, an owner of 0.12 cores served 0.66 instead of 0.51 of a day.
-const WATCHERS: u64 = 8;
-/// SELDOM_MS is the time between two heartbeats of the others. They also bring the newest
-/// configuration to a daemon without the store.
-const SELDOM_MS: u64 = 1_500;
-/// HEARTBEAT_LIMIT bounds the wait for a heartbeat's answer.
-const HEARTBEAT_LIMIT: Duration = Duration::from_millis(400);
-/// SILENT_MS is how long the owner may be silent before a take-over: three
-/// heartbeats and a little. A configuration that comes over a slow link takes longer, see
-/// [`Monitor::patience_ms`].
+/// FREQUENT_FOLLOWERS is how many daemons, those that would take over first, send a
+/// heartbeat every [`HEARTBEAT_MS`]. The others wait for seconds before they take over, so
+/// faster detection does not help them. 96 followers on one interval send 390 heartbeats a
+/// second. Without most of them, and with fewer log lines, the goodput under an owner with
+/// 0.12 cores rose from 0.51 to 0.66.
+const FREQUENT_FOLLOWERS: u64 = 8;
+/// SLOW_HEARTBEAT_MS is the time between two heartbeats of all other followers. Heartbeats
+/// also bring the newest configuration to a daemon that can't reach the store.
+const SLOW_HEARTBEAT_MS: u64 = 1_500;
+/// HEARTBEAT_TIMEOUT bounds the wait for the answer to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
+/// SILENT_MS is how long the owner may leave heartbeats unanswered before a take-over:
+/// three heartbeats and a margin. Large transfers on a slow link extend it, see
+/// [`Monitor::silence_limit_ms`].
 const SILENT_MS: u64 = 900;
-/// CELL_BYTES is what the store keeps of a cell of today's users, which a new owner reads
-/// before it can do anything.
+/// CELL_BYTES is the size of the cell in the store, as seen in current deployments. A new
+/// owner reads all of it before it can act.
 const CELL_BYTES: u64 = 384 * 1024;
-/// BITS is the number of bits that a byte of the store's answers takes: four thirds of
-/// eight in base64, and a tenth for heads.
-const BITS: u64 = 12;
-/// STORELESS_MS is how long the owner may be without the store, while this
-/// daemon has it, before a take-over.
+/// WIRE_BITS_PER_BYTE is how many bits on the link a byte of a value takes: 8 bits times
+/// four thirds for base64, and a tenth for headers.
+const WIRE_BITS_PER_BYTE: u64 = 12;
+/// STORELESS_MS is how long the owner may be without the store, while this daemon reaches
+/// it, before a take-over.
 const STORELESS_MS: u64 = 1_000;
-/// RANK_MS is how much longer each daemon waits than the one before it.
+/// RANK_MS is how much longer each daemon waits than the one ranked before it.
 const RANK_MS: u64 = 250;
-/// VOTE_LIMIT bounds the wait for another daemon's word on the owner.
-const VOTE_LIMIT: Duration = Duration::from_millis(150);
-/// REGISTER_RETRY_MS is the pause before registering is tried again.
+/// VOTE_TIMEOUT bounds the wait for another daemon's answer whether it reaches the owner.
+const VOTE_TIMEOUT: Duration = Duration::from_millis(150);
+/// REGISTER_RETRY_MS is the pause before registering is retried.
 const REGISTER_RETRY_MS: u64 = 200;
-/// PROBE_MS is the time between two cheap reads that tell whether the store
-/// answers.
+/// PROBE_MS is the time between two cheap reads that check whether the store answers.
 const PROBE_MS: u64 = 400;
 
-/// Doubt is why a daemon would take over, and since when.
+/// Reason is why a daemon would take the cell over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doubt {
-    /// Nobody owns the cell, or its owner gave it up or was restarted: it
-    /// orders nothing any more.
+enum Reason {
+    /// Nobody owns the cell, or its owner released it or was restarted, so that no owner
+    /// sends orders.
     Vacant,
     /// The owner does not answer.
     Silent,
@@ -70,26 +70,26 @@
     Storeless,
 }
 
-/// Monitor sends heartbeats and takes over when it has to.
+/// Monitor sends heartbeats to the owner and takes the cell over when the owner fails.
 struct Monitor<P> {
     node: Node<P>,
-    doubt: Option<(Doubt, Millis)>,
-    /// When the last heartbeat was sent.
+    reason: Option<(Reason, Millis)>,
+    /// When this daemon last sent a heartbeat.
     sent: Millis,
-    /// The fence of the owner that last answered.
+    /// The fence of the owner that last answered a heartbeat.
     answered: u64,
     storeless_since: Option<Millis>,
 }
 
-/// run registers this daemon, follows the others and watches over the owner,
-/// for the life of the process.
+/// run registers this daemon, follows the cluster and monitors the owner for the life of
+/// the process.
 pub(crate) async fn run<P: Platform>(node: Node<P>) {
     register(&node).await;
     tokio::task::spawn_local(follow(node.clone(), Cluster { node: node.clone() }, None));
     tokio::task::spawn_local(probe(node.clone()));
     let mut monitor = Monitor {
         node: node.clone(),
-        doubt: None,
+        reason: None,
         sent: Millis(0),
         answered: 0,
         storeless_since: None,
@@ -97,7 +97,7 @@
     loop {
         pause(HEARTBEAT_MS).await;
         if !node.stopping.get() {
-            monitor.turn().await;
+            monitor.check_and_take_over().await;
         }
     }
 }
@@ -128,13 +128,14 @@
 async fn probe<P: Platform>(node: Node<P>) {
     loop {
         pause(PROBE_MS).await;
-        // The outcome is kept by the node.
+        // store_probe records the outcome.
         drop(node.store_probe(OWNER).await);
     }
 }
 
 impl<P: Platform> Node<P> {
-    /// alive answers a heartbeat.
+    /// alive answers a heartbeat. If the follower knows a later fence, this daemon gives up
+    /// the cell.
     pub(crate) fn alive(&self, heartbeat: &Heartbeat) -> Alive {
         let fence = self
             .owned
@@ -153,19 +154,22 @@
         }
     }
 
-    /// heard_owner tells whether the owner with this fence was heard lately.
-    pub(crate) fn heard_owner(&self, fence: u64) -> bool {
+    /// has_owner_contact answers another daemon's vote request: it reports whether the
+    /// owner with `fence` was reachable from here within half of [`SILENT_MS`], or has
+    /// already been replaced.
+    pub(crate) fn has_owner_contact(&self, fence: u64) -> bool {
         let known = self
             .owned
             .borrow()
             .as_ref()
             .map_or(0, |owned| owned.ownership.fence);
-        known > fence || known == fence && self.mono().since(self.heard.get()) < SILENT_MS / 2
+        known > fence
+            || known == fence && self.mono().since(self.last_contact.get()) < SILENT_MS / 2
     }
 
-    /// unloaded returns the ownership if the store shows it as this daemon's and
-    /// the cell was not read: the answer to the swap was lost, and the daemon
-    /// learnt of it later.
+    /// unloaded returns the ownership if the store shows it as this daemon's but the cell
+    /// was not loaded. This happens when the answer to the swap was lost and the daemon
+    /// learned of its success later.
     fn unloaded(&self) -> Option<Owned> {
         let owned = self.owned.borrow().clone()?;
         let ownership = &owned.ownership;
@@ -176,86 +180,93 @@
 }
 
 impl<P: Platform> Monitor<P> {
-    async fn turn(&mut self) {
-        self.node.size_relays();
+    /// check_and_take_over runs once per [`HEARTBEAT_MS`]. It loads the cell if this daemon
+    /// owns it without having loaded it. Otherwise it checks the owner, and takes over once a
+    /// reason to do so has lasted for as long as this daemon's rank requires.
+    async fn check_and_take_over(&mut self) {
+        self.node.update_helper_count();
         if let Some(own) = self.node.unloaded() {
-            let earlier = Earlier {
+            let predecessor = Predecessor {
                 may_act: true,
                 address: None,
             };
-            self.node.load(own, earlier).await;
+            self.node.load(own, predecessor).await;
             return;
         }
         let owned = self.node.owned.borrow().clone();
         let now = self.node.mono();
-        let doubt = match &owned {
+        let reason = match &owned {
             _ if self.node.members.borrow().is_empty() => None,
-            None => Some(Doubt::Vacant),
+            None => Some(Reason::Vacant),
             Some(owned) => self.check(owned).await,
         };
-        self.doubt = match (doubt, self.doubt) {
+        self.reason = match (reason, self.reason) {
             (Some(new), Some((old, since))) if new == old => Some((old, since)),
             (Some(new), _) => Some((new, now)),
             (None, _) => None,
         };
-        let Some((doubt, since)) = self.doubt else {
+        let Some((reason, since)) = self.reason else {
             return;
         };
         let delay = self.rank(owned.as_ref()) * RANK_MS;
         if self.node.mono().since(since) >= delay && self.node.store_answers() {
-            self.take_over(doubt, owned).await;
+            self.take_over(reason, owned).await;
         }
     }
 
-    /// check tells whether something speaks against the owner.
-    async fn check(&mut self, owned: &Owned) -> Option<Doubt> {
+    /// check returns the reason to take over from the owner, if there is one.
+    async fn check(&mut self, owned: &Owned) -> Option<Reason> {
         let ownership = &owned.ownership;
         if ownership.boot == self.node.boot {
-            return ownership.released.then_some(Doubt::Vacant);
+            return ownership.released.then_some(Reason::Vacant);
         }
-        if ownership.released || self.is_over(owned) {
-            return Some(Doubt::Vacant);
+        if ownership.released || self.is_owner_gone(owned) {
+            return Some(Reason::Vacant);
         }
-        if !self.is_due(owned) {
+        if !self.is_heartbeat_due(owned) {
             return None;
         }
         self.sent = self.node.mono();
         match self.heartbeat(ownership).await {
             Some(alive) if alive.owner => {
                 let now = self.node.mono();
-                self.node.heard.set(now);
+                self.node.last_contact.set(now);
                 self.answered = ownership.fence;
                 self.check_store(alive, now)
             }
-            _ => self.is_silent().then_some(Doubt::Silent),
+            _ => self.is_silent().then_some(Reason::Silent),
         }
     }
 
-    /// is_over tells whether the owner's process has ended: another one has registered on its
-    /// VM since. An entry that is older than the ownership tells nothing, as news of the two
-    /// come by different ways.
-    fn is_over(&self, owned: &Owned) -> bool {
+    /// is_owner_gone reports whether the owner's process has ended: a new process has
+    /// registered on the owner's VM since. An entry that is older than the ownership proves
+    /// nothing, as the two can be learned of in either order.
+    fn is_owner_gone(&self, owned: &Owned) -> bool {
         let members = self.node.members.borrow();
         let entry = members.get(&owned.ownership.vm);
         let restarted = |entry: &Registered| entry.member.boot != owned.ownership.boot;
         entry.is_some_and(|entry| entry.revision > owned.revision && restarted(entry))
     }
 
-    /// is_due tells whether to send a heartbeat now.
-    fn is_due(&self, owned: &Owned) -> bool {
+    /// is_heartbeat_due reports whether to send a heartbeat now.
+    fn is_heartbeat_due(&self, owned: &Owned) -> bool {
         let waited_ms = self.node.mono().since(self.sent);
-        self.doubt.is_some() || waited_ms >= SELDOM_MS || self.rank(Some(owned)) < WATCHERS
+        self.reason.is_some()
+            || waited_ms >= SLOW_HEARTBEAT_MS
+            || self.rank(Some(owned)) < FREQUENT_FOLLOWERS
     }
 
     fn is_silent(&self) -> bool {
-        self.node.mono().since(self.node.heard.get()) >= self.patience_ms()
+        self.node.mono().since(self.node.last_contact.get()) >= self.silence_limit_ms()
     }
 
-    /// patience_ms returns for how long the owner may be silent. A new configuration comes
-    /// to all daemons at once and is held up by nothing, so an owner on a slow link is
-    /// silent while its own comes: for one second with 256 KB on 2 Mbit/s. A take-over
-    /// would bring another owner that waits as long, and cost all the same.
-    fn patience_ms(&self) -> u64 {
+    /// silence_limit_ms returns how long the owner may leave heartbeats unanswered. All
+    /// daemons receive a new configuration at once, with no delay between them, so an owner
+    /// on a slow link does not answer while it receives its own copy: one second for 256 KB
+    /// on 2 Mbit/s. Taking over then is a cost without a gain, as the new owner would be
+    /// held up for as long. An owner that has not answered since it took over also gets the
+    /// time to read the cell ([`CELL_BYTES`]).
+    fn silence_limit_ms(&self) -> u64 {
         let config = self.node.config_item.borrow();
         let bytes = config.as_ref().map_or(0, |item| item.value.len() as u64);
         let owned = self.node.owned.borrow();
@@ -263,26 +274,27 @@
         let members = self.node.members.borrow();
         let link = owner.and_then(|vm| Some(members.get(vm)?.member.link_kbps));
         let kbps = u64::from(link.unwrap_or(u32::MAX).max(1));
-        let new = owned
+        let is_new = owned
             .as_ref()
             .is_some_and(|owned| !self.has_answered(owned));
-        let bytes = if new { bytes.max(CELL_BYTES) } else { bytes };
-        SILENT_MS + bytes * BITS / kbps
+        let bytes = if is_new { bytes.max(CELL_BYTES) } else { bytes };
+        SILENT_MS + bytes * WIRE_BITS_PER_BYTE / kbps
     }
 
-    /// has_answered tells whether the owner has answered since it took the cell over.
+    /// has_answered reports whether the owner has answered a heartbeat since it took the
+    /// cell over.
     fn has_answered(&self, owned: &Owned) -> bool {
         self.answered == owned.ownership.fence
     }
 
-    fn check_store(&mut self, alive: Alive, now: Millis) -> Option<Doubt> {
+    fn check_store(&mut self, alive: Alive, now: Millis) -> Option<Reason> {
         if alive.store || !self.node.store_answers() {
             self.storeless_since = None;
             return None;
         }
         let since = *self.storeless_since.get_or_insert(now);
-        let replaced = !self.is_without(Mechanism::Storeless);
-        (replaced && now.since(since) >= STORELESS_MS).then_some(Doubt::Storeless)
+        let replaced = !self.is_disabled(Mechanism::Storeless);
+        (replaced && now.since(since) >= STORELESS_MS).then_some(Reason::Storeless)
     }
 
     async fn heartbeat(&self, ownership: &Ownership) -> Option<Alive> {
@@ -295,7 +307,7 @@
         let answer = self
             .node
             .links
-            .call(&ownership.address, &request, HEARTBEAT_LIMIT)
+            .call(&ownership.address, &request, HEARTBEAT_TIMEOUT)
             .await;
         match answer {
             Ok(Response::Alive(alive)) if alive.boot == ownership.boot => {
@@ -310,8 +322,8 @@
         }
     }
 
-    /// rank returns this daemon's place among those that could take over:
-    /// larger VMs first, as an owner's work grows with its cell.
+    /// rank returns how many daemons would take over before this one. Larger VMs come
+    /// first, as an owner's work grows with its cell.
     fn rank(&self, owned: Option<&Owned>) -> u64 {
         let owner = owned.map(|owned| &owned.ownership);
         if owner.is_some_and(|owner| owner.vm == self.node.settings.vm) {
@@ -332,29 +344,30 @@
         members.filter(before).count() as u64
     }
 
-    /// take_over tries to own the cell, unless others still hear its owner.
-    async fn take_over(&mut self, doubt: Doubt, owned: Option<Owned>) {
+    /// take_over tries to become the owner, unless other daemons still reach the present
+    /// one.
+    async fn take_over(&mut self, reason: Reason, owned: Option<Owned>) {
         let fence = owned.as_ref().map_or(0, |owned| owned.ownership.fence);
-        let asks = doubt == Doubt::Silent && !self.is_without(Mechanism::Votes);
-        if asks && self.is_heard(&owned, fence).await {
-            self.doubt = None;
-            self.node.heard.set(self.node.mono());
+        let needs_votes = reason == Reason::Silent && !self.is_disabled(Mechanism::Votes);
+        if needs_votes && self.is_reachable_by_others(&owned, fence).await {
+            self.reason = None;
+            self.node.last_contact.set(self.node.mono());
             return;
         }
         let text = format!(
-            "taking over: owner is {doubt:?}, last heard {} ms ago",
-            self.node.mono().since(self.node.heard.get())
+            "taking over: owner is {reason:?}, last contact {} ms ago",
+            self.node.mono().since(self.node.last_contact.get())
         );
         self.node.say("member", &text);
-        self.doubt = None;
-        self.swap(doubt, owned, fence).await;
+        self.reason = None;
+        self.swap(reason, owned, fence).await;
     }
 
-    fn is_without(&self, mechanism: Mechanism) -> bool {
+    fn is_disabled(&self, mechanism: Mechanism) -> bool {
         self.node.settings.cell.without.contains(mechanism)
     }
 
-    async fn is_heard(&self, owned: &Option<Owned>, fence: u64) -> bool {
+    async fn is_reachable_by_others(&self, owned: &Option<Owned>, fence: u64) -> bool {
         let own = &self.node.settings.vm;
         let owner = owned.as_ref().map(|owned| owned.ownership.vm.clone());
         let members = self.node.members.borrow().clone();
@@ -362,44 +375,45 @@
             .into_values()
             .map(|entry| entry.member)
             .filter(|member| member.vm != *own && Some(&member.vm) != owner.as_ref());
-        let asked: Vec<_> = others
+        let votes: Vec<_> = others
             .map(|member| {
                 let node = self.node.clone();
                 tokio::task::spawn_local(async move {
                     let request = Request::Heard(fence);
-                    let asked = node.links.call(&member.address, &request, VOTE_LIMIT);
-                    matches!(asked.await, Ok(Response::Flag(true)))
+                    let vote = node.links.call(&member.address, &request, VOTE_TIMEOUT);
+                    matches!(vote.await, Ok(Response::Flag(true)))
                 })
             })
             .collect();
-        let mut heard = false;
-        for answer in asked {
-            heard |= answer.await.unwrap_or(false);
+        let mut reachable = false;
+        for answer in votes {
+            reachable |= answer.await.unwrap_or(false);
         }
-        heard
+        reachable
     }
 
-    /// swap changes the ownership in the store, if nobody else did.
-    async fn swap(&mut self, doubt: Doubt, owned: Option<Owned>, fence: u64) {
+    /// swap changes the ownership in the store by compare-and-swap, and loads the cell on
+    /// success.
+    async fn swap(&mut self, reason: Reason, owned: Option<Owned>, fence: u64) {
         let revision = owned.as_ref().map_or(0, |owned| owned.revision);
         let Some(item) = self.write_ownership(revision, fence + 1).await else {
             return;
         };
-        self.node.take_ownership(&item);
+        self.node.apply_ownership(&item);
         let won = self.node.owned.borrow().clone();
         let boot = self.node.boot;
         let own = |won: &Owned| won.ownership.boot == boot && !won.ownership.released;
         if let Some(won) = won.filter(own) {
-            let earlier = Earlier {
-                may_act: doubt != Doubt::Vacant,
+            let predecessor = Predecessor {
+                may_act: reason != Reason::Vacant,
                 address: owned.map(|owned| owned.ownership.address),
             };
-            self.node.load(won, earlier).await;
+            self.node.load(won, predecessor).await;
         }
     }
 
-    /// write_ownership writes this daemon as the owner over a revision, and
-    /// returns what the store then holds, if that is known.
+    /// write_ownership replaces the ownership at `revision` by this daemon's, and returns
+    /// the ownership that the store holds afterwards, if that is known.
     async fn write_ownership(&self, revision: u64, fence: u64) -> Option<Item> {
         let ownership = Ownership {
             vm: self.node.settings.vm.clone(),
@@ -410,14 +424,14 @@
         };
         let value = encode(&ownership).expect("an ownership is encoded");
         let transaction = Transaction::swap(OWNER, revision, value.clone());
-        self.node.note_swap(fence);
+        self.node.record_swap(fence);
         match self.node.store_commit(&transaction).await {
             Committed::Done(revision) => Some(Item {
                 key: OWNER.to_owned(),
                 value,
                 revision,
             }),
-            // An unclear swap is read back: it may have been done.
+            // The outcome of an unanswered swap is read back: it may have taken effect.
             Committed::Conflict(_) | Committed::Unknown => {
                 self.node.store_get(OWNER).await.ok().flatten()
             }
