--- a/crates/stackpier-cell/tests/common/effects.rs
+++ b/crates/stackpier-cell/tests/common/effects.rs
@@ -130,7 +130,7 @@
         if self.cut[place] || lost {
             return Renewed::Silent;
         }
-        self.workers[place].hold(self.now_ms, renewal)
+        self.workers[place].renew(self.now_ms, renewal)
     }
 
     /// ticket returns the adviser's ticket for the present incarnation of a worker.
@@ -163,16 +163,16 @@
         let task = start.order.task;
         let shape = &self.specs[&task.job.0].steps[usize::from(task.step)];
         let mut size = shape.size;
-        let mut fills_milli = 0;
+        let mut best_effort_milli = 0;
         if shape.best_effort {
-            fills_milli = std::mem::take(&mut size.milli_cores);
+            best_effort_milli = std::mem::take(&mut size.milli_cores);
         }
         let usual = Behaviour {
             work_ms: u64::from(shape.estimate_ms),
             size,
-            fills_milli,
+            best_effort_milli,
             saves: shape.checkpointing,
-            lasts: shape.long_running,
+            long_running: shape.long_running,
             ..Behaviour::default()
         };
         let given = self.behaviours.get(&(task.job.0, task.step));
--- a/crates/stackpier-cell/tests/common/mod.rs
+++ b/crates/stackpier-cell/tests/common/mod.rs
@@ -247,7 +247,7 @@
     pub fn submit_long_running(&mut self, job: u64, shape: Step) {
         let behaviour = Behaviour {
             size: shape.size,
-            lasts: true,
+            long_running: true,
             ..Behaviour::default()
         };
         self.behaviours.insert((job, 0), behaviour);
--- a/crates/stackpier-cell/tests/common/renewals.rs
+++ b/crates/stackpier-cell/tests/common/renewals.rs
@@ -39,7 +39,7 @@
             }
             let outcome = match cut {
                 true => Renewed::Silent,
-                false => worker.hold(self.now_ms, &waiting.renewal),
+                false => worker.renew(self.now_ms, &waiting.renewal),
             };
             let event = Event::Renewed {
                 worker: waiting.renewal.worker,
--- a/crates/stackpier-cell/tests/eligibility.rs
+++ b/crates/stackpier-cell/tests/eligibility.rs
@@ -31,7 +31,7 @@
 fn submit_long_running_job(owner: &mut Owner, job: u64, queue: &str, shape: Step) {
     let behaviour = Behaviour {
         size: shape.size,
-        lasts: true,
+        long_running: true,
         ..Behaviour::default()
     };
     owner.behaviours.insert((job, 0), behaviour);
--- a/crates/stackpier-cell/tests/evacuation.rs
+++ b/crates/stackpier-cell/tests/evacuation.rs
@@ -71,7 +71,7 @@
     owner.advance(100);
     for number in 0..WORKERS {
         let behaviour = Behaviour {
-            lasts: true,
+            long_running: true,
             tail_ms: Some(20),
             size: serving_step(number, None).size,
             ..Behaviour::default()
--- a/crates/stackpier-cell/tests/faults.rs
+++ b/crates/stackpier-cell/tests/faults.rs
@@ -266,7 +266,7 @@
     let effects = later.cell.step(now, Event::Listed(info(0)));
     for effect in effects {
         if let Effect::Renew(renewal) = effect {
-            owner.workers[0].hold(owner.now_ms, &renewal);
+            owner.workers[0].renew(owner.now_ms, &renewal);
         }
     }
     owner.submit(1, spec(vec![step(1)]));
@@ -320,7 +320,7 @@
 #[test]
 fn a_worker_that_fails_everything_gets_few_starts() {
     let mut owner = Owner::new(4);
-    owner.workers[0].grey = true;
+    owner.workers[0].fails_all = true;
     let failing = Behaviour::default();
     owner.behaviours.clear();
     assert_eq!(failing.work_ms, 0);
--- a/crates/stackpier-cell/tests/interference.rs
+++ b/crates/stackpier-cell/tests/interference.rs
@@ -48,7 +48,7 @@
     let size = step(1).size;
     let behaviour = Behaviour {
         size,
-        lasts: true,
+        long_running: true,
         tail_ms: Some(tail_ms),
         ..Behaviour::default()
     };
--- a/crates/stackpier-cell/tests/listing.rs
+++ b/crates/stackpier-cell/tests/listing.rs
@@ -57,8 +57,8 @@
     let orders = [
         Order::Numbered,
         Order::NewestFirst,
-        Order::Drawn(1),
-        Order::Drawn(2),
+        Order::Shuffled(1),
+        Order::Shuffled(2),
     ];
     let results = orders.map(|order| run_tasks(Listing::in_order(order)));
     assert_eq!(results, orders.map(|_| completed_once()));
@@ -75,7 +75,7 @@
 #[test]
 fn ends_beyond_a_list_that_is_cut_are_waited_for() {
     let mut owner = Owner::new(1);
-    owner.workers[0].listing = Listing::cut(2);
+    owner.workers[0].listing = Listing::limited_to(2);
     owner.submit(1, spec(vec![step(TASKS)]));
     owner.advance(500);
     owner.store = false;
@@ -111,7 +111,7 @@
 /// has only the first ends, which tell nothing about the other tasks.
 #[test]
 fn a_successor_waits_for_the_ends_beyond_a_list_that_is_cut() {
-    let successor = run_successor(Listing::cut(2));
+    let successor = run_successor(Listing::limited_to(2));
     assert_eq!(successor.starts.len(), 0);
     assert_eq!(successor.state(1), Some(State::Completed));
 }
--- a/crates/stackpier-cell/tests/maintenance.rs
+++ b/crates/stackpier-cell/tests/maintenance.rs
@@ -278,7 +278,7 @@
         wide.size.milli_cores = milli_cores;
         let behaviour = Behaviour {
             size: wide.size,
-            lasts: true,
+            long_running: true,
             ..Behaviour::default()
         };
         owner.behaviours.insert((job, 0), behaviour);
--- a/crates/stackpier-cell/tests/rotation.rs
+++ b/crates/stackpier-cell/tests/rotation.rs
@@ -43,7 +43,7 @@
     };
     let behaviour = Behaviour {
         size,
-        lasts: true,
+        long_running: true,
         ..Behaviour::default()
     };
     owner.behaviours.insert((job, 0), behaviour);
--- a/crates/stackpier-cell/tests/starvation.rs
+++ b/crates/stackpier-cell/tests/starvation.rs
@@ -53,7 +53,7 @@
 fn submit_serving_job(owner: &mut Owner, step: Step, tail_ms: u32) {
     let behaviour = Behaviour {
         size: step.size,
-        lasts: true,
+        long_running: true,
         tail_ms: Some(tail_ms),
         ..Behaviour::default()
     };
@@ -305,8 +305,8 @@
             milli_cores: 0,
             ..long_running_best_effort.size
         },
-        fills_milli: 2_000,
-        lasts: true,
+        best_effort_milli: 2_000,
+        long_running: true,
         ..Behaviour::default()
     };
     owner.behaviours.insert((BEST_EFFORT, 0), behaviour);
@@ -333,7 +333,7 @@
             milli_cores: 0,
             ..idle.size
         },
-        fills_milli: 200,
+        best_effort_milli: 200,
         ..Behaviour::default()
     };
     owner.behaviours.insert((3, 0), behaviour);
@@ -423,7 +423,7 @@
         wide.size.milli_cores = 6_000;
         let behaviour = Behaviour {
             size: wide.size,
-            lasts: true,
+            long_running: true,
             ..Behaviour::default()
         };
         owner.behaviours.insert((job, 0), behaviour);
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -104,7 +104,7 @@
             assert_eq!(later.workers[place].runs.len(), 1, "the successor renewed");
         }
         Silence::Incarnation => {
-            let acked = &later.workers[place].noted;
+            let acked = &later.workers[place].acked;
             assert!(
                 acked.iter().any(|end| end.cause == EndCause::Done),
                 "{acked:?}"
@@ -260,7 +260,7 @@
     earlier.store = false;
     let mut later = successor(&earlier, place, shape);
     later.advance(2_500);
-    let acked = &later.workers[place].noted;
+    let acked = &later.workers[place].acked;
     assert!(
         acked.iter().any(|end| end.cause == EndCause::Done),
         "{acked:?}"
--- a/crates/stackpier-cell/tests/waiting.rs
+++ b/crates/stackpier-cell/tests/waiting.rs
@@ -56,12 +56,12 @@
             },
             ..shape.size
         },
-        fills_milli: if shape.best_effort {
+        best_effort_milli: if shape.best_effort {
             shape.size.milli_cores
         } else {
             0
         },
-        lasts: true,
+        long_running: true,
         tail_ms: (shape.target_ms > 0).then_some(8),
         ..Behaviour::default()
     };
--- a/crates/stackpier-fuzz/src/cell/oracle.rs
+++ b/crates/stackpier-fuzz/src/cell/oracle.rs
@@ -118,8 +118,8 @@
     /// note takes in the ends that an owner with a fence told a worker to
     /// forget.
     pub fn note(&mut self, at_ms: u64, worker: &mut Worker, fence: u64) {
-        for end in worker.noted.drain(..) {
-            let lapsed = end.number <= worker.lapsed_end;
+        for end in worker.acked.drain(..) {
+            let lapsed = end.number <= worker.last_end_at_expiry;
             let noted = Noted {
                 at_ms,
                 fence,
--- a/crates/stackpier-fuzz/src/cell/world/calls.rs
+++ b/crates/stackpier-fuzz/src/cell/world/calls.rs
@@ -113,7 +113,7 @@
                 taken: self.workers[target].pace(self.now_ms, pace),
             },
             Effect::Renew(hold) => {
-                let outcome = self.workers[target].hold(self.now_ms, hold);
+                let outcome = self.workers[target].renew(self.now_ms, hold);
                 self.count_listing(target, &outcome);
                 self.oracle
                     .note(self.now_ms, &mut self.workers[target], hold.fence);
--- a/crates/stackpier-fuzz/src/cell/world/faults.rs
+++ b/crates/stackpier-fuzz/src/cell/world/faults.rs
@@ -151,7 +151,7 @@
         let worker = &mut self.workers[place];
         worker.advance(self.now_ms);
         worker.hangs = grey && hangs;
-        worker.grey = grey && !hangs;
+        worker.fails_all = grey && !hangs;
     }
 
     /// drain has a worker say now and then that it leaves.
--- a/crates/stackpier-fuzz/src/cell/world/jobs.rs
+++ b/crates/stackpier-fuzz/src/cell/world/jobs.rs
@@ -81,16 +81,16 @@
 
     fn new_behaviours(&mut self, step: &Step) -> Vec<Behaviour> {
         let mut size = step.size;
-        let mut fills_milli = 0;
+        let mut best_effort_milli = 0;
         if step.best_effort {
-            fills_milli = std::mem::take(&mut size.milli_cores);
+            best_effort_milli = std::mem::take(&mut size.milli_cores);
         }
         let behaviour = |fails, crashes| Behaviour {
             work_ms: u64::from(step.estimate_ms),
             fails,
             crashes,
             size,
-            fills_milli,
+            best_effort_milli,
             saves: step.checkpointing,
             ..Behaviour::default()
         };
--- a/crates/stackpier-fuzz/src/cell/world/listing.rs
+++ b/crates/stackpier-fuzz/src/cell/world/listing.rs
@@ -15,10 +15,10 @@
     pub(super) fn new_listing(&mut self) -> Listing {
         let mut listing = Listing::default();
         if self.extra_chance(self.faults.unordered) {
-            listing.order = Order::Drawn(self.extra_between(0, u64::MAX));
+            listing.order = Order::Shuffled(self.extra_between(0, u64::MAX));
         }
         if self.extra_chance(self.faults.short_lists) {
-            listing.most = self.extra_between(FEW.0, FEW.1) as usize;
+            listing.max_listed = self.extra_between(FEW.0, FEW.1) as usize;
         }
         if self.extra_chance(self.faults.late_ends) {
             listing.late = true;
@@ -38,7 +38,7 @@
         }
         let worker = &self.workers[place];
         let waits = worker.ends.len() > report.ended.len();
-        let cut = waits && report.ended.len() == worker.listing.most;
+        let cut = waits && report.ended.len() == worker.listing.max_listed;
         let late = waits && !cut;
         if cut {
             self.count("report with a list that is cut");
--- a/crates/stackpier-load/src/cell/job.rs
+++ b/crates/stackpier-load/src/cell/job.rs
@@ -93,16 +93,16 @@
         let place = usize::from(step);
         let shape = &self.drawn.spec.steps[place];
         let mut size = shape.size;
-        let mut fills_milli = 0;
+        let mut best_effort_milli = 0;
         if shape.best_effort {
-            fills_milli = std::mem::take(&mut size.milli_cores);
+            best_effort_milli = std::mem::take(&mut size.milli_cores);
         }
         Behaviour {
             work_ms: self.drawn.work_ms[place],
             size,
-            fills_milli,
+            best_effort_milli,
             saves: shape.checkpointing,
-            lasts: shape.long_running,
+            long_running: shape.long_running,
             tail_ms: (self.kind.role == Role::Serving).then_some(0),
             ..Behaviour::default()
         }
--- a/crates/stackpier-load/src/cell/world.rs
+++ b/crates/stackpier-load/src/cell/world.rs
@@ -262,7 +262,7 @@
             worker.advance(now_ms);
             worker.speed_percent = 100;
             worker.hangs = false;
-            worker.grey = false;
+            worker.fails_all = false;
         }
         for fault in faults {
             match fault {
@@ -275,7 +275,7 @@
                     let grey = part(count, count / 2, share);
                     self.workers[grey]
                         .iter_mut()
-                        .for_each(|worker| worker.grey = true);
+                        .for_each(|worker| worker.fails_all = true);
                 }
                 Fault::Hang(share) => {
                     let still = part(count, count / 2, share);
--- a/crates/stackpier-load/src/cell/world/calls.rs
+++ b/crates/stackpier-load/src/cell/world/calls.rs
@@ -135,7 +135,7 @@
     /// is_done tells whether a run of a task has ended as done.
     fn is_done(&self, task: TaskName) -> bool {
         let ends = |worker: &Worker| {
-            let mut all = worker.ends.iter().chain(&worker.noted);
+            let mut all = worker.ends.iter().chain(&worker.acked);
             all.any(|end| end.task == task && end.cause == EndCause::Done)
         };
         self.workers.iter().any(ends)
@@ -158,7 +158,7 @@
         let worker = &mut self.workers[place];
         worker.advance(self.now_ms);
         let unnoted = worker.ends.iter().any(|end| end.number > hold.acked);
-        let ends = worker.runs.iter().filter_map(Run::left_ms).min();
+        let ends = worker.runs.iter().filter_map(Run::remaining_ms).min();
         let wait_ms = match unnoted {
             true => 0,
             false => hold
@@ -173,7 +173,7 @@
         self.set_tails(place);
         let outcome = match self.is_cut(place) {
             true => Renewed::Silent,
-            false => self.workers[place].hold(self.now_ms, hold),
+            false => self.workers[place].renew(self.now_ms, hold),
         };
         let event = Event::Renewed {
             worker: hold.worker,
--- a/crates/stackpier-load/src/cell/world/watch.rs
+++ b/crates/stackpier-load/src/cell/world/watch.rs
@@ -48,9 +48,12 @@
             job.drawn.images[usize::from(run.task.step)]
         };
         let mut cores: BTreeMap<usize, f64> = BTreeMap::new();
-        for run in runs.iter().filter(|run| run.behaviour().fills_milli > 0) {
+        for run in runs
+            .iter()
+            .filter(|run| run.behaviour().best_effort_milli > 0)
+        {
             let used =
-                f64::from(run.behaviour().fills_milli) / CORE * f64::from(run.pace) / PERCENT;
+                f64::from(run.behaviour().best_effort_milli) / CORE * f64::from(run.pace) / PERCENT;
             *cores.entry(image(run)).or_default() += used;
         }
         let load = |run: &Run| {
--- a/crates/stackpier-load/tests/listing.rs
+++ b/crates/stackpier-load/tests/listing.rs
@@ -21,7 +21,7 @@
 #[test]
 fn no_task_is_done_twice_in_whatever_order_ends_are_listed() {
     let patterns = [Pattern::Calm, Pattern::CutWhenFull, Pattern::StoreAway];
-    let orders = [Order::Numbered, Order::NewestFirst, Order::Drawn(SEED)];
+    let orders = [Order::Numbered, Order::NewestFirst, Order::Shuffled(SEED)];
     let day = |pattern| orders.map(|order| repeats(pattern, Listing::in_order(order)));
     assert_eq!(patterns.map(day), [[0; 3]; 3]);
 }
--- a/crates/stackpier-standin/src/fleet.rs
+++ b/crates/stackpier-standin/src/fleet.rs
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A worker as a cell's owner meets it, in memory and on a clock that is
-//! passed in: it refuses lower fences and what does not fit, ends what its
-//! lease no longer covers, and lists each end until it is noted.
+//! An in-memory model of a worker as the owner of a cell sees it. The caller
+//! passes the time in. The worker refuses orders with a lower fence and runs
+//! that do not fit, ends all its runs when its lease expires, and lists each end
+//! until the owner acknowledges it.
 
 pub mod listing;
 
@@ -15,48 +16,50 @@
 
 use listing::Listing;
 
-/// STOP_MS is how long a stop takes.
-const STOP_MS: u64 = 300;
-/// SAVE_MS is the work after which progress is saved.
-const SAVE_MS: u64 = 500;
-/// RESTORE_MS is the time a resumed run takes to begin.
-const RESTORE_MS: u64 = 250;
-/// FULL is the percent of a run that has done its work.
-const FULL: u64 = 100;
+/// STOP_DURATION_MS is the time from a stop order to the end of the run.
+const STOP_DURATION_MS: u64 = 300;
+/// SAVE_INTERVAL_MS is the work between two checkpoints.
+const SAVE_INTERVAL_MS: u64 = 500;
+/// RESTORE_DURATION_MS is the time that a resumed run spends restoring its checkpoint.
+const RESTORE_DURATION_MS: u64 = 250;
+/// FULL_PERCENT is the progress of a finished run, and the pace and speed of an
+/// unthrottled one.
+const FULL_PERCENT: u64 = 100;
 
-/// Behaviour is what a task does when it runs.
+/// Behaviour describes what a task does when it runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behaviour {
-    /// Work until it is done, in milliseconds; ignored by tasks that last.
+    /// Time that the task works at full pace until it is done, in milliseconds; ignored
+    /// for long-running tasks, unless they fail.
     pub work_ms: u64,
     /// Whether every run fails.
     pub fails: bool,
-    /// Whether every start brings the worker down. Who holds the workers carries that
-    /// out.
+    /// Whether every start crashes the worker. The test that drives the workers has to
+    /// carry out the crash.
     pub crashes: bool,
-    /// What it takes of a worker's room.
+    /// The worker's capacity that it reserves.
     pub size: Size,
-    /// The processors that it uses beyond its room, if it fills, in
-    /// thousandths of a core.
-    pub fills_milli: u32,
-    /// Whether it saves its progress.
+    /// The processors that a best-effort task uses beyond its size, in thousandths
+    /// of a core.
+    pub best_effort_milli: u32,
+    /// Whether it saves checkpoints.
     pub saves: bool,
     /// Whether it runs until it is stopped.
-    pub lasts: bool,
-    /// The tail latency that it reports, if it serves.
+    pub long_running: bool,
+    /// The tail latency that a serving task reports, in milliseconds.
     pub tail_ms: Option<u32>,
 }
 
 impl Behaviour {
-    /// fail_after lets a run fail after a share of its work; one that lasts fails after
-    /// as much.
+    /// fail_after makes every run fail after a share of its work; long-running tasks
+    /// fail after the same time.
     pub fn fail_after(&mut self, share: f64) {
         self.fails = true;
         self.work_ms = (self.work_ms as f64 * share) as u64;
     }
 }
 
-/// Run is a run on a worker.
+/// Run holds the state of a run on a worker.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The task.
@@ -69,83 +72,85 @@
     worked_ms: u64,
     restoring_ms: u64,
     stops_at: Option<u64>,
-    /// The pace it was told, in percent.
+    /// The pace that it was ordered to work at, in percent.
     pub pace: u8,
 }
 
 impl Run {
-    /// is_working tells whether the run gets on: it is neither paused nor
-    /// being stopped.
+    /// is_working reports whether the run is neither paused nor being stopped.
     pub fn is_working(&self) -> bool {
         self.pace > 0 && self.stops_at.is_none()
     }
 
-    /// behaviour returns what the task does.
+    /// behaviour returns the behaviour of its task.
     pub fn behaviour(&self) -> &Behaviour {
         &self.behaviour
     }
 
-    /// set_tail changes the tail latency that it reports, if it serves.
+    /// set_tail changes the tail latency that it reports, if its task is a serving task.
     pub fn set_tail(&mut self, tail_ms: u32) {
         self.behaviour.tail_ms = self.behaviour.tail_ms.map(|_| tail_ms);
     }
 
-    /// left_ms returns for how long it still works at its present pace, or `None` if
-    /// it lasts or stands still.
-    pub fn left_ms(&self) -> Option<u64> {
-        if self.behaviour.lasts || self.pace == 0 {
+    /// remaining_ms returns the time until it is done at its present pace, or `None` if
+    /// it is long-running or paused.
+    pub fn remaining_ms(&self) -> Option<u64> {
+        if self.behaviour.long_running || self.pace == 0 {
             return None;
         }
         let work_ms = self.behaviour.work_ms.saturating_sub(self.worked_ms);
-        Some(self.restoring_ms + work_ms * FULL / u64::from(self.pace))
+        Some(self.restoring_ms + work_ms * FULL_PERCENT / u64::from(self.pace))
     }
 
-    fn saved(&self) -> String {
+    /// saved_progress returns the saved progress, or an empty text if the task saves none.
+    fn saved_progress(&self) -> String {
         if !self.behaviour.saves {
             return String::new();
         }
-        (self.worked_ms / SAVE_MS * SAVE_MS).to_string()
+        (self.worked_ms / SAVE_INTERVAL_MS * SAVE_INTERVAL_MS).to_string()
     }
 
+    /// percent returns the progress of the run; for a long-running task, its pace.
     fn percent(&self) -> u8 {
-        if self.behaviour.lasts {
+        if self.behaviour.long_running {
             return self.pace;
         }
-        (self.worked_ms * FULL / self.behaviour.work_ms.max(1)).min(FULL) as u8
+        (self.worked_ms * FULL_PERCENT / self.behaviour.work_ms.max(1)).min(FULL_PERCENT) as u8
     }
 }
 
-/// Worker is one life of a worker.
+/// Worker is one incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What the list of workers shows of it.
+    /// The worker's entry in the list of workers.
     pub info: Info,
-    /// Its clock's reading when it began.
+    /// What its own clock showed when it started.
     clock_start_ms: u64,
-    /// When it began.
-    begun_ms: u64,
-    /// Whether its tasks stand still.
+    /// When it started.
+    started_ms: u64,
+    /// Whether its tasks make no progress.
     pub hangs: bool,
-    /// Whether it fails everything.
-    pub grey: bool,
-    /// How fast its tasks work, in percent of what is usual.
+    /// Whether every run fails once it has worked.
+    pub fails_all: bool,
+    /// The speed of its tasks, in percent of the normal speed.
     pub speed_percent: u64,
-    /// The runs that are there.
+    /// The runs that have not ended.
     pub runs: Vec<Run>,
-    /// How it lists its ends.
+    /// How reports list its ends.
     pub listing: Listing,
-    /// Ends that were not noted.
+    /// Ends that the owner has not acknowledged.
     pub ends: Vec<End>,
-    /// Ends that were noted.
-    pub noted: Vec<End>,
-    /// The last end that was listed when the lease lapsed.
-    pub lapsed_end: u64,
+    /// Ends that the owner has acknowledged.
+    pub acked: Vec<End>,
+    /// The highest number of an end when the lease last expired.
+    pub last_end_at_expiry: u64,
     fence: u64,
     next_end: u64,
     lease_end_ms: u64,
-    /// The highest run of a task that ended or was stopped here.
-    barred: BTreeMap<TaskName, u32>,
-    last_ms: u64,
+    /// The highest run of each task that ended or was stopped here. Neither it nor a
+    /// lower one is started any more.
+    blocked_runs: BTreeMap<TaskName, u32>,
+    advanced_to_ms: u64,
 }
 
 impl Worker {
@@ -154,62 +159,63 @@
         Worker {
             info,
             clock_start_ms,
-            begun_ms: now_ms,
+            started_ms: now_ms,
             hangs: false,
-            grey: false,
-            speed_percent: FULL,
+            fails_all: false,
+            speed_percent: FULL_PERCENT,
             runs: Vec::new(),
             listing: Listing::default(),
             ends: Vec::new(),
-            noted: Vec::new(),
-            lapsed_end: 0,
+            acked: Vec::new(),
+            last_end_at_expiry: 0,
             fence: 0,
             next_end: 1,
             lease_end_ms: 0,
-            barred: BTreeMap::new(),
-            last_ms: now_ms,
+            blocked_runs: BTreeMap::new(),
+            advanced_to_ms: now_ms,
         }
     }
 
-    /// clock returns what its clock shows at a time.
+    /// clock returns what its own clock shows at a time.
     pub fn clock(&self, now_ms: u64) -> u64 {
-        self.clock_start_ms + now_ms - self.begun_ms
+        self.clock_start_ms + now_ms - self.started_ms
     }
 
-    /// set_tail changes the tail latency of all tasks that serve.
+    /// set_tail changes the tail latency that all its serving tasks report.
     pub fn set_tail(&mut self, tail_ms: u32) {
         for run in &mut self.runs {
             run.set_tail(tail_ms);
         }
     }
 
-    /// advance lets time pass: runs work, end, and lapse.
+    /// advance moves the time forward: runs make progress, and end when they are done,
+    /// fail, were stopped, or the lease expires.
     pub fn advance(&mut self, now_ms: u64) {
-        let passed = now_ms.saturating_sub(self.last_ms);
-        self.last_ms = now_ms;
+        let elapsed = now_ms.saturating_sub(self.advanced_to_ms);
+        self.advanced_to_ms = now_ms;
         let clock = self.clock(now_ms);
         for run in &mut self.runs {
             if self.hangs {
                 continue;
             }
-            let restoring = run.restoring_ms.min(passed);
+            let restoring = run.restoring_ms.min(elapsed);
             run.restoring_ms -= restoring;
-            let percent = u64::from(run.pace) * self.speed_percent / FULL;
-            run.worked_ms += (passed - restoring) * percent / FULL;
+            let percent = u64::from(run.pace) * self.speed_percent / FULL_PERCENT;
+            run.worked_ms += (elapsed - restoring) * percent / FULL_PERCENT;
         }
-        let lapsed = clock >= self.lease_end_ms;
-        let grey = self.grey;
-        let over = |run: &Run| -> Option<EndCause> {
+        let expired = clock >= self.lease_end_ms;
+        let fails_all = self.fails_all;
+        let end_cause = |run: &Run| -> Option<EndCause> {
             let behaviour = run.behaviour;
-            let ends = !behaviour.lasts || behaviour.fails;
-            let worked = run.worked_ms >= behaviour.work_ms && ends;
+            let can_end = !behaviour.long_running || behaviour.fails;
+            let finished = run.worked_ms >= behaviour.work_ms && can_end;
             let stopped = run.stops_at.is_some_and(|at| clock >= at);
             match () {
-                () if lapsed => Some(EndCause::Lapsed),
+                () if expired => Some(EndCause::Lapsed),
                 () if stopped => Some(EndCause::Stopped),
-                () if grey && run.worked_ms > 0 => Some(EndCause::Failed),
-                () if worked && behaviour.fails => Some(EndCause::Failed),
-                () if worked => Some(EndCause::Done),
+                () if fails_all && run.worked_ms > 0 => Some(EndCause::Failed),
+                () if finished && behaviour.fails => Some(EndCause::Failed),
+                () if finished => Some(EndCause::Done),
                 () => None,
             }
         };
@@ -217,20 +223,20 @@
             .runs
             .iter()
             .enumerate()
-            .filter_map(|(place, run)| over(run).map(|cause| (place, cause)))
+            .filter_map(|(index, run)| end_cause(run).map(|cause| (index, cause)))
             .collect();
-        for (place, cause) in ended.into_iter().rev() {
-            let run = self.runs.remove(place);
-            self.end(&run, cause);
+        for (index, cause) in ended.into_iter().rev() {
+            let run = self.runs.remove(index);
+            self.record_end(&run, cause);
         }
-        if lapsed {
-            self.lapsed_end = self.next_end - 1;
+        if expired {
+            self.last_end_at_expiry = self.next_end - 1;
         }
     }
 
-    fn end(&mut self, run: &Run, cause: EndCause) {
+    fn record_end(&mut self, run: &Run, cause: EndCause) {
         let checkpoint = if cause == EndCause::Stopped || cause == EndCause::Lapsed {
-            run.saved()
+            run.saved_progress()
         } else {
             String::new()
         };
@@ -242,25 +248,28 @@
             checkpoint,
         });
         self.next_end += 1;
-        self.bar(run.task, run.number);
+        self.block_run(run.task, run.number);
     }
 
-    fn bar(&mut self, task: TaskName, number: u32) {
-        let barred = self.barred.entry(task).or_default();
-        *barred = (*barred).max(number);
+    /// block_run keeps a run, and all lower ones of its task, from starting here.
+    fn block_run(&mut self, task: TaskName, number: u32) {
+        let blocked = self.blocked_runs.entry(task).or_default();
+        *blocked = (*blocked).max(number);
     }
 
     fn reserved(&self) -> Size {
         self.runs.iter().map(|run| run.behaviour.size).sum()
     }
 
+    /// is_fenced reports whether an order's fence is lower than the highest one so far,
+    /// which it records.
     fn is_fenced(&mut self, fence: u64) -> bool {
         let fenced = fence < self.fence;
         self.fence = self.fence.max(fence);
         fenced
     }
 
-    /// start takes an order to start a run of a task with a behaviour.
+    /// start handles an order to start a run of a task with this behaviour.
     pub fn start(&mut self, now_ms: u64, start: &Start, behaviour: Behaviour) -> Started {
         self.advance(now_ms);
         let order = &start.order;
@@ -274,12 +283,12 @@
             return Started::Late;
         }
         self.lease_end_ms = self.lease_end_ms.max(start.deadline_ms);
-        let there = |run: &Run| run.task == order.task && run.number == order.run;
-        if self.runs.iter().any(there) {
+        let is_ordered = |run: &Run| run.task == order.task && run.number == order.run;
+        if self.runs.iter().any(is_ordered) {
             return Started::Yes;
         }
-        let barred = self.barred.get(&order.task);
-        if barred.is_some_and(|barred| order.run <= *barred) {
+        let blocked = self.blocked_runs.get(&order.task);
+        if blocked.is_some_and(|blocked| order.run <= *blocked) {
             return Started::Old;
         }
         let needed = self.reserved() + behaviour.size;
@@ -302,13 +311,17 @@
             fence: order.fence,
             behaviour,
             worked_ms: saved.unwrap_or(0),
-            restoring_ms: if saved.is_some() { RESTORE_MS } else { 0 },
+            restoring_ms: if saved.is_some() {
+                RESTORE_DURATION_MS
+            } else {
+                0
+            },
             stops_at: None,
-            pace: FULL as u8,
+            pace: FULL_PERCENT as u8,
         });
     }
 
-    /// stop takes an order to stop a run.
+    /// stop handles an order to stop a run.
     pub fn stop(&mut self, now_ms: u64, stop: &Stop) -> Stopped {
         self.advance(now_ms);
         let order = &stop.order;
@@ -318,24 +331,25 @@
         if self.is_fenced(order.fence) {
             return Stopped::Fenced;
         }
-        let stops_at = self.clock(now_ms) + STOP_MS;
-        let there = |run: &&mut Run| run.task == order.task && run.number == order.run;
-        match self.runs.iter_mut().find(there) {
+        let stops_at = self.clock(now_ms) + STOP_DURATION_MS;
+        let is_ordered = |run: &&mut Run| run.task == order.task && run.number == order.run;
+        match self.runs.iter_mut().find(is_ordered) {
             Some(run) => run.stops_at = run.stops_at.or(Some(stops_at)),
-            None => self.bar(order.task, order.run),
+            None => self.block_run(order.task, order.run),
         }
         Stopped::Yes
     }
 
-    /// pace takes an order to let a run work at a share.
+    /// pace handles an order to change the pace of a run, and reports whether it took
+    /// effect.
     pub fn pace(&mut self, now_ms: u64, pace: &Pace) -> bool {
         self.advance(now_ms);
         let order = &pace.order;
         if order.worker_id != self.info.id || self.is_fenced(order.fence) {
             return false;
         }
-        let there = |run: &&mut Run| run.task == order.task && run.number == order.run;
-        match self.runs.iter_mut().find(there) {
+        let is_ordered = |run: &&mut Run| run.task == order.task && run.number == order.run;
+        match self.runs.iter_mut().find(is_ordered) {
             Some(run) => {
                 run.pace = pace.percent;
                 true
@@ -344,40 +358,41 @@
         }
     }
 
-    /// hold renews the lease and reports. It does not wait.
-    pub fn hold(&mut self, now_ms: u64, hold: &Renewal) -> Renewed {
+    /// renew handles a lease renewal and returns a report at once, without waiting for
+    /// news.
+    pub fn renew(&mut self, now_ms: u64, renewal: &Renewal) -> Renewed {
         self.advance(now_ms);
-        if hold.worker_id != self.info.id {
+        if renewal.worker_id != self.info.id {
             return Renewed::OtherLife;
         }
-        if self.is_fenced(hold.fence) {
+        if self.is_fenced(renewal.fence) {
             return Renewed::Fenced;
         }
-        if let Some(deadline_ms) = hold.deadline_ms {
+        if let Some(deadline_ms) = renewal.deadline_ms {
             self.lease_end_ms = self.lease_end_ms.max(deadline_ms);
         }
-        let is_noted = |end: &End| end.number <= hold.acked;
-        let (noted, ends) = self.ends.drain(..).partition(is_noted);
+        let is_acked = |end: &End| end.number <= renewal.acked;
+        let (newly_acked, ends) = self.ends.drain(..).partition(is_acked);
         self.ends = ends;
-        self.noted.extend::<Vec<End>>(noted);
+        self.acked.extend::<Vec<End>>(newly_acked);
         let ended = self.listing.list(&self.ends);
         Renewed::Report(Report {
             started_at: self.info.started_at,
             clock_ms: self.clock(now_ms),
-            running: self.runs.iter().map(row).collect(),
-            whole: ended.len() < self.listing.most,
+            running: self.runs.iter().map(report_run).collect(),
+            whole: ended.len() < self.listing.max_listed,
             ended,
         })
     }
 }
 
-fn row(run: &Run) -> RunStatus {
-    let full = run.behaviour.size.milli_cores + run.behaviour.fills_milli;
-    let used = full * u32::from(run.pace) / FULL as u32;
+fn report_run(run: &Run) -> RunStatus {
+    let at_full_pace = run.behaviour.size.milli_cores + run.behaviour.best_effort_milli;
+    let used = at_full_pace * u32::from(run.pace) / FULL_PERCENT as u32;
     RunStatus {
         task: run.task,
         run: run.number,
-        checkpoint: run.saved(),
+        checkpoint: run.saved_progress(),
         percent: run.percent(),
         figure: Some(run.behaviour.tail_ms.unwrap_or(used)),
     }
--- a/crates/stackpier-standin/src/fleet/listing.rs
+++ b/crates/stackpier-standin/src/fleet/listing.rs
@@ -1,50 +1,52 @@
 // SPDX-License-Identifier: Apache-2.0
-//! How a worker lists the ends that are not noted: the platform promises rising numbers and
-//! that what is not noted is listed again, but no order, and a bound on the list.
+//! The list of unacknowledged ends in a worker's report. The platform promises that the numbers
+//! of ends rise and that an unacknowledged end is listed again. It bounds the length of the list
+//! and promises no order.
 
 use stackpier_cell::End;
 
-/// MOST is how many ends the platform's workers list at a time.
-pub const MOST: usize = 500;
+/// MAX_LISTED is how many ends a worker of the platform lists at most in one report.
+pub const MAX_LISTED: usize = 500;
 
 /// Order is the order of the ends in a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
-    /// By number.
+    /// By rising number.
     #[default]
     Numbered,
     /// The newest first.
     NewestFirst,
-    /// Drawn anew with a seed for each set of ends.
-    Drawn(u64),
+    /// A pseudo-random order that depends on the seed and on the numbers of the ends.
+    Shuffled(u64),
 }
 
-/// Listing is how a worker lists its ends.
+/// Listing determines which ends a report lists, and in which order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listing {
     /// The order of a list.
     pub order: Order,
-    /// How many ends it has at most: the oldest ones.
-    pub most: usize,
-    /// Whether an end shows only in the report after the one that shows its run no more.
+    /// The maximum length of a list. A longer one keeps its oldest ends.
+    pub max_listed: usize,
+    /// Whether an end is first listed one report after the one that no longer shows its
+    /// run.
     pub late: bool,
-    /// The newest end at the time of the last report.
-    shown: u64,
+    /// The number of the newest end at the last report.
+    last_reported: u64,
 }
 
 impl Default for Listing {
     fn default() -> Listing {
         Listing {
             order: Order::default(),
-            most: MOST,
+            max_listed: MAX_LISTED,
             late: false,
-            shown: 0,
+            last_reported: 0,
         }
     }
 }
 
 impl Listing {
-    /// in_order lists in an order.
+    /// in_order returns a listing in this order.
     pub fn in_order(order: Order) -> Listing {
         Listing {
             order,
@@ -52,15 +54,15 @@
         }
     }
 
-    /// cut lists only so many ends at a time.
-    pub fn cut(most: usize) -> Listing {
+    /// limited_to returns a listing of at most this many ends at a time.
+    pub fn limited_to(max_listed: usize) -> Listing {
         Listing {
-            most,
+            max_listed,
             ..Listing::default()
         }
     }
 
-    /// late lists ends one report after their runs have gone.
+    /// late returns a listing whose ends come one report after their runs have gone.
     pub fn late() -> Listing {
         Listing {
             late: true,
@@ -68,23 +70,29 @@
         }
     }
 
-    /// list returns what a report lists of the ends that are not noted, which come by number.
+    /// list returns the ends that a report lists. `ends` are the unacknowledged ones, by
+    /// rising number.
     pub(super) fn list(&mut self, ends: &[End]) -> Vec<End> {
-        let newest = ends.last().map_or(self.shown, |end| end.number);
-        let upto = if self.late { self.shown } else { newest };
-        self.shown = newest;
-        let due = ends.iter().filter(|end| end.number <= upto);
-        let mut list: Vec<End> = due.take(self.most).cloned().collect();
+        let newest = ends.last().map_or(self.last_reported, |end| end.number);
+        let last_due = if self.late {
+            self.last_reported
+        } else {
+            newest
+        };
+        self.last_reported = newest;
+        let due = ends.iter().filter(|end| end.number <= last_due);
+        let mut list: Vec<End> = due.take(self.max_listed).cloned().collect();
         match self.order {
             Order::Numbered => {}
             Order::NewestFirst => list.reverse(),
-            Order::Drawn(seed) => list.sort_by_key(|end| scatter(seed ^ end.number)),
+            Order::Shuffled(seed) => list.sort_by_key(|end| scatter(seed ^ end.number)),
         }
         list
     }
 }
 
-/// scatter spreads numbers evenly, by the finishing steps of a well-known generator.
+/// scatter maps numbers to evenly distributed ones, by the finishing steps of the generator
+/// SplitMix64.
 fn scatter(number: u64) -> u64 {
     let mixed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/stackpier-standin/src/lib.rs
+++ b/crates/stackpier-standin/src/lib.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Stand-ins for the systems around stackpier, for tests only: the platform's
-//! store and list of VMs, a worker, and a proxy that injects faults.
+//! Stand-ins for the systems around stackpier, for tests only: the platform with
+//! its store and its list of VMs, workers, and a proxy that injects faults.
 
 pub mod fleet;
 pub mod platform;
--- a/crates/stackpier-standin/src/main.rs
+++ b/crates/stackpier-standin/src/main.rs
@@ -17,9 +17,9 @@
   stackpier-standin proxy --control IP:PORT --listen IP:PORT --to IP:PORT [--listen ... --to ...]
 ";
 
-/// Given is what the command line says.
+/// Args holds the values from the command line.
 #[derive(Default)]
-struct Given {
+struct Args {
     listen: Vec<String>,
     to: Vec<String>,
     roster: Vec<String>,
@@ -33,18 +33,18 @@
 fn main() -> Result<()> {
     let mut parser = Parser::from_env();
     let mut command = String::new();
-    let mut given = Given::default();
+    let mut args = Args::default();
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Value(value) if command.is_empty() => command = value.string()?,
-            Arg::Long("listen") => given.listen.push(parser.value()?.string()?),
-            Arg::Long("to") => given.to.push(parser.value()?.string()?),
-            Arg::Long("control") => given.control = parser.value()?.string()?,
-            Arg::Long("roster") => given.roster.push(parser.value()?.string()?),
-            Arg::Long("name") => given.name = parser.value()?.string()?,
-            Arg::Long("slots") => given.slots = Some(parser.value()?.parse()?),
-            Arg::Long("connections") => given.connections = Some(parser.value()?.parse()?),
-            Arg::Long("work-ms") => given.work_ms = Some(parser.value()?.parse()?),
+            Arg::Long("listen") => args.listen.push(parser.value()?.string()?),
+            Arg::Long("to") => args.to.push(parser.value()?.string()?),
+            Arg::Long("control") => args.control = parser.value()?.string()?,
+            Arg::Long("roster") => args.roster.push(parser.value()?.string()?),
+            Arg::Long("name") => args.name = parser.value()?.string()?,
+            Arg::Long("slots") => args.slots = Some(parser.value()?.parse()?),
+            Arg::Long("connections") => args.connections = Some(parser.value()?.parse()?),
+            Arg::Long("work-ms") => args.work_ms = Some(parser.value()?.parse()?),
             Arg::Long("help") => {
                 print!("{HELP}");
                 return Ok(());
@@ -53,15 +53,15 @@
         }
     }
     match command.as_str() {
-        "platform" => run_platform(&given),
-        "worker" => run_worker(&given),
-        "proxy" => run_proxy(&given),
+        "platform" => run_platform(&args),
+        "worker" => run_worker(&args),
+        "proxy" => run_proxy(&args),
         _ => bail!("no such command\n{HELP}"),
     }
 }
 
-fn run_platform(given: &Given) -> Result<()> {
-    let pairs = given.listen.iter().zip(&given.roster);
+fn run_platform(args: &Args) -> Result<()> {
+    let pairs = args.listen.iter().zip(&args.roster);
     let views = pairs.map(|(listen, file)| {
         let text = std::fs::read(file).context("reading the roster")?;
         Ok(platform::View {
@@ -72,25 +72,25 @@
     platform::run(views.collect::<Result<_>>()?)
 }
 
-fn run_proxy(given: &Given) -> Result<()> {
-    let pairs = given.listen.iter().zip(&given.to);
+fn run_proxy(args: &Args) -> Result<()> {
+    let pairs = args.listen.iter().zip(&args.to);
     let forwards = pairs.map(|(listen, to)| proxy::Forward {
         listen: listen.clone(),
         to: to.clone(),
     });
-    proxy::run(forwards.collect(), &given.control)
+    proxy::run(forwards.collect(), &args.control)
 }
 
-fn run_worker(given: &Given) -> Result<()> {
+fn run_worker(args: &Args) -> Result<()> {
     let options = worker_http::Options {
-        name: Name::try_from(given.name.as_str()).context("--name")?,
-        slots: given.slots.unwrap_or(8),
-        connections: given.connections.unwrap_or(64),
-        work_ms: given.work_ms.unwrap_or(2),
+        name: Name::try_from(args.name.as_str()).context("--name")?,
+        slots: args.slots.unwrap_or(8),
+        connections: args.connections.unwrap_or(64),
+        work_ms: args.work_ms.unwrap_or(2),
     };
     let since = SystemTime::now().duration_since(UNIX_EPOCH)?;
     worker_http::run(
-        given.listen.first().context("--listen")?,
+        args.listen.first().context("--listen")?,
         options,
         Boot(since.as_nanos() as u64),
     )
--- a/crates/stackpier-standin/src/platform.rs
+++ b/crates/stackpier-standin/src/platform.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The stand-in platform as a process: store and list of VMs over HTTP, with
-//! faults that tests switch on.
+//! The stand-in platform as a process: the store and the list of VMs over HTTP,
+//! with faults that tests switch on.
 
 use std::{
     sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError},
@@ -19,37 +19,38 @@
 
 use crate::{rate::Bucket, store::Store};
 
-/// THREADS bounds the calls in service, waiting watches included.
+/// THREADS is how many calls are served at once on each port, waiting watches
+/// included.
 const THREADS: usize = 64;
-/// WRITES is the limit on writes a second.
-const WRITES: f64 = 100.0;
-/// READS is the limit on reads a second.
-const READS: f64 = 2_000.0;
-/// MAX_VALUE is the largest value in bytes.
-const MAX_VALUE: usize = 1024 * 1024;
+/// WRITES_PER_S is the limit on writes per second.
+const WRITES_PER_S: f64 = 100.0;
+/// READS_PER_S is the limit on reads per second.
+const READS_PER_S: f64 = 2_000.0;
+/// MAX_VALUE_BYTES is the size of the largest value that a swap may write.
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// Faults are what tests switch on.
+/// Faults holds the faults that tests switch on.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call of the store and the list fails.
+    /// Whether all calls to the store and the list fail.
     pub outage: bool,
-    /// Every call waits this long first.
+    /// The time by which every call to the store and the list is delayed.
     pub delay_ms: u64,
-    /// The replies of this many swaps are lost after they took effect.
+    /// The number of swaps whose replies get lost after they have taken effect.
     pub lose_replies: u32,
-    /// The list is not changed by `POST /roster` while this is set.
+    /// Whether `POST /roster` leaves the list unchanged.
     pub stale_list: bool,
 }
 
-/// Stats count the calls since the start.
+/// Stats counts the calls since the start.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Stats {
     /// Reads, watches included.
     pub reads: u64,
-    /// Swaps, lost ones included.
+    /// Swaps, including those whose replies got lost.
     pub writes: u64,
-    /// Calls refused by the limits.
+    /// Calls refused by the rate limits.
     pub limited: u64,
     /// Bytes of values read.
     pub read_bytes: u64,
@@ -59,10 +60,10 @@
     pub largest_value: u64,
 }
 
-/// State is the store and what goes wrong with it.
+/// State holds the store, the lists and the faults.
 struct State {
     store: Store,
-    /// One list for each port, as data centres may reach VMs by different
+    /// One list for each port, because data centres may reach VMs by different
     /// addresses.
     rosters: Vec<Roster>,
     faults: Faults,
@@ -71,7 +72,7 @@
     writes: Bucket,
 }
 
-/// Platform is the state with a signal for watches.
+/// Platform holds the state and the signal that wakes waiting watches.
 struct Platform {
     state: Mutex<State>,
     changed: Condvar,
@@ -83,15 +84,15 @@
     body: Vec<u8>,
 }
 
-/// View is a port of the platform with the list that it gives out.
+/// View is a port of the platform and the list that it serves.
 pub struct View {
-    /// Address as `IP:port`.
+    /// The address that it listens on, as `IP:port`.
     pub listen: String,
     /// The list of VMs.
     pub roster: Roster,
 }
 
-/// run serves one store on all ports until the process ends.
+/// run serves the same store on all ports until the process ends.
 pub fn run(views: Vec<View>) -> anyhow::Result<()> {
     let rosters = views.iter().map(|view| view.roster.clone()).collect();
     let platform = Arc::new(Platform {
@@ -100,8 +101,8 @@
             rosters,
             faults: Faults::default(),
             stats: Stats::default(),
-            reads: Bucket::new(READS),
-            writes: Bucket::new(WRITES),
+            reads: Bucket::new(READS_PER_S),
+            writes: Bucket::new(WRITES_PER_S),
         }),
         changed: Condvar::new(),
     });
@@ -161,6 +162,8 @@
         }
     }
 
+    /// admin answers the calls by which tests control the platform, which faults do not
+    /// affect.
     fn admin(&self, get: bool, path: &str, view: usize, body: &[u8]) -> Option<Answer> {
         match (get, path) {
             (true, "/stats") => Some(json(&self.lock().stats)),
@@ -190,7 +193,7 @@
     }
 
     fn swap(&self, key: &str, body: &[u8]) -> Answer {
-        if body.len() > MAX_VALUE {
+        if body.len() > MAX_VALUE_BYTES {
             return status(413);
         }
         let swap: Swap = match from_json(body) {
@@ -224,16 +227,16 @@
                 .unwrap_or(0)
         };
         let after = Revision(number("after"));
-        let until = Instant::now() + Duration::from_millis(number("wait_ms"));
+        let deadline = Instant::now() + Duration::from_millis(number("wait_ms"));
         let mut state = self.lock();
         state.stats.reads += 1;
         loop {
             let revision = state.store.revision(key);
-            let left = until.saturating_duration_since(Instant::now());
-            if revision > after || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if revision > after || remaining.is_zero() {
                 return json(&revision);
             }
-            let waited = self.changed.wait_timeout(state, left);
+            let waited = self.changed.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -250,8 +253,8 @@
     to_json(value).map_or_else(|_| status(500), |body| Answer { status: 200, body })
 }
 
-fn accept(done: Result<()>) -> Answer {
-    match done {
+fn accept(outcome: Result<()>) -> Answer {
+    match outcome {
         Ok(()) => status(200),
         Err(error) => Answer {
             status: 400,
--- a/crates/stackpier-standin/src/proxy.rs
+++ b/crates/stackpier-standin/src/proxy.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A TCP proxy that injects faults, switched over a control port.
+//! A TCP proxy that injects faults. A control port sets its mode.
 
 use std::{
     io::{Read, Write},
@@ -16,49 +16,50 @@
 use stackpier_protocol::codec::from_json;
 use tiny_http::{Response, Server};
 
-/// POLL is how often a stalled direction looks whether it may go on.
-const POLL: Duration = Duration::from_millis(10);
-/// CHUNK is the most bytes moved at once.
-const CHUNK: usize = 4_096;
+/// POLL_INTERVAL is the time between two checks of the mode while no bytes move.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// CHUNK_BYTES is the maximum number of bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 4_096;
 
-/// Mode is what the proxy does to connections.
+/// Mode determines how the proxy treats connections.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Refuses new connections and ends the ones there.
+    /// Closes open connections, and new ones as soon as they are accepted.
     Cut,
-    /// Accepts, but moves no byte either way.
+    /// Accepts connections, but forwards nothing in either direction.
     Stall,
-    /// Moves nothing from the server to the client.
+    /// Forwards nothing from the server to the client.
     HalfOpen,
-    /// Moves nothing from the client to the server.
+    /// Forwards nothing from the client to the server.
     HalfOpenRequest,
-    /// Waits this many milliseconds before each chunk.
+    /// Delays each chunk by this many milliseconds.
     Delay(u64),
-    /// Moves so many bytes a second to the client, over all connections together.
+    /// Forwards this many bytes per second to clients, over all connections together.
     Rate(u32),
-    /// Ends the connection after this many bytes from the server.
+    /// Closes a connection after this many bytes from the server.
     TruncateAnswer(usize),
-    /// Ends the connection after this many bytes from the client.
+    /// Closes a connection after this many bytes from the client.
     TruncateRequest(usize),
 }
 
+/// Direction is one of the two directions of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Request,
     Answer,
 }
 
-/// Switch is what the proxy does, for all of its connections.
+/// Switch holds the state that all connections of a proxy share.
 #[derive(Debug, Default)]
 struct Switch {
     mode: Mutex<Mode>,
-    /// Held by the connection whose bytes are on the link, where the rate is bounded.
+    /// In `Mode::Rate`, locked by the connection that is forwarding bytes to its client.
     link: Mutex<()>,
-    /// How often the connections of the time went silent.
+    /// The number of calls of `Proxy::silence`.
     silences: AtomicU64,
 }
 
@@ -71,7 +72,8 @@
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner) = mode;
     }
 
-    /// occupy keeps the link busy for as long as some bytes take at a rate.
+    /// occupy waits until the link is free and keeps it busy for as long as `count` bytes
+    /// take at this rate.
     fn occupy(&self, count: usize, bytes_per_s: u32) {
         let busy = Duration::from_secs_f64(count as f64 / f64::from(bytes_per_s.max(1)));
         let _link = self.link.lock().unwrap_or_else(PoisonError::into_inner);
@@ -83,19 +85,19 @@
     }
 }
 
-/// Gate is the switch as one connection sees it.
+/// Gate determines what one connection may forward.
 #[derive(Clone)]
 struct Gate {
     switch: Arc<Switch>,
-    /// The count of silences when the connection was accepted.
-    born: u64,
+    /// The number of silences when the connection was accepted.
+    silences_at_accept: u64,
 }
 
 impl Gate {
     fn new(switch: &Arc<Switch>) -> Gate {
         Gate {
             switch: Arc::clone(switch),
-            born: switch.silences(),
+            silences_at_accept: switch.silences(),
         }
     }
 
@@ -103,29 +105,29 @@
         self.switch.mode()
     }
 
-    /// is_silent tells whether the connection went silent.
+    /// is_silent reports whether the connection was accepted before the last silence.
     fn is_silent(&self) -> bool {
-        self.switch.silences() > self.born
+        self.switch.silences() > self.silences_at_accept
     }
 }
 
-/// Forward is one port of the proxy and where it leads.
+/// Forward is a port of the proxy and its target.
 #[derive(Clone, Debug)]
 pub struct Forward {
-    /// Address as `IP:port`.
+    /// The address that it listens on, as `IP:port`.
     pub listen: String,
-    /// Where connections go, as `IP:port`.
+    /// The address that connections are forwarded to, as `IP:port`.
     pub to: String,
 }
 
-/// Proxy is one port with a switch of its own, in this process.
+/// Proxy is a proxy with one port that runs in this process.
 #[derive(Clone, Debug)]
 pub struct Proxy {
     switch: Arc<Switch>,
 }
 
 impl Proxy {
-    /// start forwards connections until the process ends.
+    /// start listens on the port and forwards connections until the process ends.
     pub fn start(forward: Forward) -> std::io::Result<Proxy> {
         let switch = Arc::new(Switch::default());
         let proxy = Proxy {
@@ -136,27 +138,27 @@
         Ok(proxy)
     }
 
-    /// set changes what the proxy does, also to the connections there.
+    /// set changes the mode, also for open connections.
     pub fn set(&self, mode: Mode) {
         self.switch.set(mode);
     }
 
-    /// silence stops forwarding on the connections there, both ways and for
-    /// good: what is sent on them is lost, and neither end learns that the
-    /// other one closed. New connections are not touched.
+    /// silence stops forwarding on open connections for good, in both directions:
+    /// what is sent on them is lost, and neither end learns that the other one
+    /// closed. New connections are not affected.
     pub fn silence(&self) {
         self.switch.silences.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// run forwards all ports and takes modes for them as JSON on `control`.
+/// run forwards all ports and accepts their common mode as JSON on `control`.
 pub fn run(forwards: Vec<Forward>, control: &str) -> anyhow::Result<()> {
     let switch = Arc::new(Switch::default());
     let server = Server::http(control).map_err(|error| anyhow::anyhow!(error))?;
-    for one in forwards {
-        let listener = TcpListener::bind(&one.listen)?;
+    for route in forwards {
+        let listener = TcpListener::bind(&route.listen)?;
         let switch = Arc::clone(&switch);
-        thread::spawn(move || accept(&listener, &one.to, &switch));
+        thread::spawn(move || accept(&listener, &route.to, &switch));
     }
     serve_control(&server, &switch);
     Ok(())
@@ -192,28 +194,29 @@
     let server = TcpStream::connect(to).ok()?;
     client.set_nodelay(true).ok()?;
     server.set_nodelay(true).ok()?;
-    let (client_too, server_too) = (client.try_clone().ok()?, server.try_clone().ok()?);
-    let gate_too = gate.clone();
-    thread::spawn(move || pump(client_too, server_too, Way::Request, &gate_too));
-    pump(server, client, Way::Answer, gate);
+    let (client_copy, server_copy) = (client.try_clone().ok()?, server.try_clone().ok()?);
+    let gate_copy = gate.clone();
+    thread::spawn(move || pump(client_copy, server_copy, Direction::Request, &gate_copy));
+    pump(server, client, Direction::Answer, gate);
     Some(())
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, way: Way, gate: &Gate) {
-    let mut moved = 0;
-    let mut chunk = [0; CHUNK];
-    let _ = from.set_read_timeout(Some(POLL));
+/// pump forwards one direction of a connection until one end closes or the mode closes it.
+fn pump(mut from: TcpStream, mut to: TcpStream, direction: Direction, gate: &Gate) {
+    let mut forwarded = 0;
+    let mut chunk = [0; CHUNK_BYTES];
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     loop {
         let count = match from.read(&mut chunk) {
             Ok(0) => break,
             Ok(count) => count,
-            Err(error) if waits(&error) => match gate.mode() {
+            Err(error) if is_timeout(&error) => match gate.mode() {
                 Mode::Cut if !gate.is_silent() => break,
                 _ => continue,
             },
             Err(_) => break,
         };
-        let Some(allowed) = admit(way, moved, count, gate) else {
+        let Some(allowed) = admit(direction, forwarded, count, gate) else {
             break;
         };
         if gate.is_silent() {
@@ -222,46 +225,49 @@
         if to.write_all(&chunk[..allowed]).is_err() || allowed < count {
             break;
         }
-        moved += allowed;
+        forwarded += allowed;
     }
     if gate.is_silent() {
-        // The other way's thread keeps both sockets until its own end closes.
+        // The thread of the other direction keeps both sockets open until the end that
+        // it reads from closes.
         return;
     }
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
 
-/// admit waits while the mode holds bytes back, and returns how many of
-/// `count` may go on; `None` ends the connection.
-fn admit(way: Way, moved: usize, count: usize, gate: &Gate) -> Option<usize> {
+/// admit waits while the mode holds bytes back, and returns how many of `count` bytes
+/// may be forwarded; `None` closes the connection.
+fn admit(direction: Direction, forwarded: usize, count: usize, gate: &Gate) -> Option<usize> {
     loop {
         match gate.mode() {
             _ if gate.is_silent() => return Some(count),
             Mode::Cut => return None,
-            Mode::Stall => thread::sleep(POLL),
-            Mode::HalfOpen if way == Way::Answer => thread::sleep(POLL),
-            Mode::HalfOpenRequest if way == Way::Request => thread::sleep(POLL),
+            Mode::Stall => thread::sleep(POLL_INTERVAL),
+            Mode::HalfOpen if direction == Direction::Answer => thread::sleep(POLL_INTERVAL),
+            Mode::HalfOpenRequest if direction == Direction::Request => {
+                thread::sleep(POLL_INTERVAL)
+            }
             Mode::Delay(ms) => {
                 thread::sleep(Duration::from_millis(ms));
                 return Some(count);
             }
-            Mode::Rate(bytes_per_s) if way == Way::Answer => {
+            Mode::Rate(bytes_per_s) if direction == Direction::Answer => {
                 gate.switch.occupy(count, bytes_per_s);
                 return Some(count);
             }
-            Mode::TruncateAnswer(at) if way == Way::Answer => {
-                return Some(count.min(at.saturating_sub(moved)));
+            Mode::TruncateAnswer(at) if direction == Direction::Answer => {
+                return Some(count.min(at.saturating_sub(forwarded)));
             }
-            Mode::TruncateRequest(at) if way == Way::Request => {
-                return Some(count.min(at.saturating_sub(moved)));
+            Mode::TruncateRequest(at) if direction == Direction::Request => {
+                return Some(count.min(at.saturating_sub(forwarded)));
             }
             _ => return Some(count),
         }
     }
 }
 
-fn waits(error: &std::io::Error) -> bool {
+fn is_timeout(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{TimedOut, WouldBlock};
     matches!(error.kind(), TimedOut | WouldBlock)
 }
--- a/crates/stackpier-standin/src/rate.rs
+++ b/crates/stackpier-standin/src/rate.rs
@@ -1,36 +1,36 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A limit on calls per second.
+//! A token bucket that limits the calls per second.
 
 use std::time::Instant;
 
-/// Bucket lets through a set count of calls a second, saved up for one second.
+/// Bucket admits a fixed number of calls per second. Unused calls are kept for up to one second.
 #[derive(Debug)]
 pub struct Bucket {
     per_second: f64,
-    saved: f64,
-    last: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Bucket {
-    /// new starts full.
+    /// new returns a full bucket.
     pub fn new(per_second: f64) -> Bucket {
         Bucket {
             per_second,
-            saved: per_second,
-            last: Instant::now(),
+            tokens: per_second,
+            refilled_at: Instant::now(),
         }
     }
 
-    /// take takes one call, if one is left.
+    /// take reports whether a call is admitted now, and counts it if so.
     pub fn take(&mut self) -> bool {
         let now = Instant::now();
-        let earned = now.duration_since(self.last).as_secs_f64() * self.per_second;
-        self.saved = (self.saved + earned).min(self.per_second);
-        self.last = now;
-        if self.saved < 1.0 {
+        let refilled = now.duration_since(self.refilled_at).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + refilled).min(self.per_second);
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/crates/stackpier-standin/src/worker.rs
+++ b/crates/stackpier-standin/src/worker.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The rules of a worker, as a pure model: leases, starts, stops, checkpoints
-//! and a log of everything that ran. Fuzz tests drive it directly.
+//! A pure model of a worker of `stackpierd`: leases, starts, stops, checkpoints
+//! and a log of all runs. Fuzz tests drive it directly.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
 use stackpier_protocol::sync::{Call, Clock, Ended, Reply, Start, Usage};
 use stackpier_state::work::{Checkpoint, Class, Outcome, Run, Work};
 
-/// Span is one run in the log.
+/// Span holds one run in the log, from its start to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
     /// The run.
     pub run: Run,
-    /// Progress it was resumed from.
+    /// The checkpoint that it resumed from.
     pub from: Option<Checkpoint>,
     /// When it started, by the worker's clock.
     pub started: Clock,
@@ -25,7 +25,7 @@
     pub ended: Option<(Clock, Outcome)>,
 }
 
-/// Running is a run at work.
+/// Running holds the state of a run that has not ended.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     run: Run,
@@ -36,7 +36,7 @@
     throttle: Throttle,
 }
 
-/// Throttle is the time a run has lost by running at half speed.
+/// Throttle holds the time that a run has lost by running at half speed.
 #[derive(Clone, Copy, Debug, Default)]
 struct Throttle {
     since: Option<Clock>,
@@ -64,10 +64,11 @@
     }
 }
 
-/// NO_SLOWDOWN_MILLI is the slowdown of a task that runs as if alone.
+/// NO_SLOWDOWN_MILLI is the slowdown of a task that others on its worker do not slow
+/// down, in thousandths.
 const NO_SLOWDOWN_MILLI: u32 = 1_000;
 
-/// Worker is the model of one run of a worker.
+/// Worker models a worker from one boot to the next.
 #[derive(Debug)]
 pub struct Worker {
     name: Name,
@@ -76,15 +77,16 @@
     lease: Clock,
     running: BTreeMap<Task, Running>,
     ended: BTreeMap<Run, Outcome>,
-    /// The highest attempt of each task that ended here or never may start.
-    last: BTreeMap<Task, Attempt>,
+    /// The highest attempt of each task that ended here or was stopped before it
+    /// started. Neither it nor a lower one is started any more.
+    last_attempts: BTreeMap<Task, Attempt>,
     fails_all: bool,
     slowdown_milli: u32,
     log: Vec<Span>,
 }
 
 impl Worker {
-    /// new starts a worker with nothing running.
+    /// new returns a worker that runs nothing.
     pub fn new(name: Name, boot: Boot) -> Worker {
         Worker {
             name,
@@ -93,38 +95,38 @@
             lease: Clock(0),
             running: BTreeMap::new(),
             ended: BTreeMap::new(),
-            last: BTreeMap::new(),
+            last_attempts: BTreeMap::new(),
             fails_all: false,
             slowdown_milli: NO_SLOWDOWN_MILLI,
             log: Vec::new(),
         }
     }
 
-    /// boot returns this run of the worker.
+    /// boot returns the number of this boot of the worker.
     pub fn boot(&self) -> Boot {
         self.boot
     }
 
-    /// fail_all makes every later start fail at once, or not.
-    pub fn fail_all(&mut self, fails: bool) {
+    /// set_fails_all sets whether every later run fails as soon as it starts.
+    pub fn set_fails_all(&mut self, fails: bool) {
         self.fails_all = fails;
     }
 
-    /// slow sets the slowdown reported of services, in thousandths.
-    pub fn slow(&mut self, slowdown_milli: u32) {
+    /// set_slowdown sets the slowdown that it reports for services, in thousandths.
+    pub fn set_slowdown(&mut self, slowdown_milli: u32) {
         self.slowdown_milli = slowdown_milli.max(NO_SLOWDOWN_MILLI);
     }
 
-    /// log returns all runs so far.
+    /// log returns all runs since the boot.
     pub fn log(&self) -> &[Span] {
         &self.log
     }
 
-    /// advance ends what the time has ended: all runs when the lease lapsed,
-    /// and batch tasks that are done.
+    /// advance ends batch tasks that are done by now, and all runs if the lease has
+    /// expired.
     pub fn advance(&mut self, now: Clock) {
-        let lapsed = now > self.lease;
-        let at = if lapsed { self.lease } else { now };
+        let expired = now > self.lease;
+        let at = if expired { self.lease } else { now };
         let done = |running: &Running| {
             let progress = running.progress(at);
             running.work.class == Class::Batch && progress >= running.work.run_time_ms
@@ -133,13 +135,14 @@
         for running in runs {
             if done(&running) {
                 self.finish(running, at, Outcome::Finished);
-            } else if lapsed {
+            } else if expired {
                 self.finish(running, at, Outcome::Lost);
             }
         }
     }
 
-    /// sync serves a renewer's call.
+    /// sync handles a call of the renewer: if it is valid, it renews the lease and carries
+    /// out the orders. The reply is the worker's state either way.
     pub fn sync(&mut self, now: Clock, call: &Call) -> Reply {
         self.advance(now);
         let until = Clock(call.clock.0 + call.lease_ms);
@@ -152,15 +155,15 @@
         self.reply(now)
     }
 
-    /// runs tells whether a run may serve requests now.
-    pub fn runs(&mut self, now: Clock, run: Run) -> bool {
+    /// is_running reports whether a run may serve requests now.
+    pub fn is_running(&mut self, now: Clock, run: Run) -> bool {
         self.advance(now);
         self.running
             .get(&run.task)
             .is_some_and(|running| running.run == run)
     }
 
-    /// running returns the runs that run now.
+    /// running returns the runs that have not ended, with their sizes.
     pub fn running(&self) -> impl Iterator<Item = (Run, Size)> {
         self.running
             .values()
@@ -186,11 +189,11 @@
 
     fn start(&mut self, now: Clock, start: &Start) {
         let run = start.run;
-        let over = self
-            .last
+        let is_blocked = self
+            .last_attempts
             .get(&run.task)
             .is_some_and(|last| *last >= run.attempt);
-        if over || self.running.contains_key(&run.task) {
+        if is_blocked || self.running.contains_key(&run.task) {
             return;
         }
         let running = Running {
@@ -220,13 +223,13 @@
                 let saved = (running.work.class == Class::Batch).then_some(Checkpoint(progress));
                 self.finish(running, now, Outcome::Stopped(saved));
             }
-            _ => self.bar(run),
+            _ => self.block_run(run),
         }
     }
 
-    /// bar keeps a run from ever starting here.
-    fn bar(&mut self, run: Run) {
-        let last = self.last.entry(run.task).or_insert(run.attempt);
+    /// block_run keeps a run from ever starting here, and lists it as stopped.
+    fn block_run(&mut self, run: Run) {
+        let last = self.last_attempts.entry(run.task).or_insert(run.attempt);
         if *last < run.attempt {
             *last = run.attempt;
         }
@@ -235,7 +238,8 @@
 
     fn finish(&mut self, running: Running, at: Clock, outcome: Outcome) {
         self.running.remove(&running.run.task);
-        self.last.insert(running.run.task, running.run.attempt);
+        self.last_attempts
+            .insert(running.run.task, running.run.attempt);
         self.ended.insert(running.run, outcome);
         self.log[running.span].ended = Some((at, outcome));
     }
--- a/crates/stackpier-standin/src/worker_http.rs
+++ b/crates/stackpier-standin/src/worker_http.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The stand-in worker as a process. It echoes requests of its service tasks
-//! and logs each execution.
+//! The stand-in worker as a process. Its service tasks echo the requests that they
+//! get, and it logs each execution.
 
 use std::{
     sync::{
@@ -25,72 +25,72 @@
 
 use crate::worker::{Span, Worker};
 
-/// Options describe the worker.
+/// Options holds the settings of the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Name of the worker.
+    /// The worker's name.
     pub name: Name,
-    /// Requests that run at once.
+    /// The number of requests that it runs at once.
     pub slots: usize,
-    /// Requests in service at once, refused ones included.
+    /// The number of requests that it handles at once, refused ones included.
     pub connections: usize,
-    /// Time one request takes, in milliseconds.
+    /// The time that a request takes, in milliseconds.
     pub work_ms: u64,
 }
 
-/// Execution is one request in the log.
+/// Execution is a request in the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Execution {
-    /// Value of the idempotency-key header.
+    /// The value of its `idempotency-key` header.
     pub key: Option<String>,
-    /// Path behind the service's name.
+    /// Its path, without the service's name in front.
     pub path: String,
     /// When it started, by the worker's clock.
     pub started: Clock,
 }
 
-/// Log is everything the worker ran.
+/// Log lists everything that the worker has run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Log {
-    /// The tasks.
+    /// The runs of tasks.
     pub spans: Vec<Span>,
-    /// The requests.
+    /// The requests that it executed.
     pub executions: Vec<Execution>,
 }
 
-/// Knobs are changed by tests while the worker runs.
+/// Knobs holds the settings that tests change while the worker runs.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
-    /// Added to the time each request takes, in milliseconds.
+    /// Time added to each request, in milliseconds.
     pub extra_ms: u64,
-    /// Whether every task that is started fails.
+    /// Whether every run fails as soon as it starts.
     pub fail_all: bool,
-    /// Slowdown reported of services, in thousandths; below 1,000 is none.
+    /// The slowdown that it reports for services, in thousandths; below 1,000 is none.
     pub slowdown_milli: u32,
 }
 
-/// Shared is what the threads of a worker share.
+/// Shared holds the state that the worker's threads share.
 struct Shared {
     options: Options,
     start: Instant,
-    /// Wall-clock time at the start, so that the logs of several workers on one
-    /// machine can be compared.
-    offset: u64,
+    /// Wall-clock time at the start, which makes the logs of several workers on one
+    /// machine comparable.
+    start_unix_ms: u64,
     model: Mutex<Worker>,
     executions: Mutex<Vec<Execution>>,
     knobs: Mutex<Knobs>,
     busy: AtomicUsize,
 }
 
-/// run serves until the process ends.
+/// run serves requests until the process ends.
 pub fn run(listen: &str, options: Options, boot: Boot) -> anyhow::Result<()> {
     let server = Server::http(listen).map_err(|error| anyhow::anyhow!(error))?;
     let server = Arc::new(server);
     let shared = Arc::new(Shared {
         options,
         start: Instant::now(),
-        offset: unix_ms(),
+        start_unix_ms: unix_ms(),
         model: Mutex::new(Worker::new(options.name, boot)),
         executions: Mutex::default(),
         knobs: Mutex::default(),
@@ -123,7 +123,7 @@
 
 impl Shared {
     fn now(&self) -> Clock {
-        Clock(self.offset + self.start.elapsed().as_millis() as u64)
+        Clock(self.start_unix_ms + self.start.elapsed().as_millis() as u64)
     }
 
     fn serve(&self, mut request: Request) {
@@ -135,7 +135,7 @@
         let response = match url.as_str() {
             "/sync" => self.sync(&body),
             "/log" => self.log(),
-            "/knobs" => self.turn(&body),
+            "/knobs" => self.set_knobs(&body),
             _ => self.execute(&request, &url, body),
         };
         let _ = request.respond(response);
@@ -159,12 +159,12 @@
         Response::from_data(to_json(&log).unwrap_or_default())
     }
 
-    fn turn(&self, body: &[u8]) -> Response<std::io::Cursor<Vec<u8>>> {
+    fn set_knobs(&self, body: &[u8]) -> Response<std::io::Cursor<Vec<u8>>> {
         let Ok(knobs) = from_json::<Knobs>(body) else {
             return Response::from_data(Vec::new()).with_status_code(400);
         };
-        lock(&self.model).fail_all(knobs.fail_all);
-        lock(&self.model).slow(knobs.slowdown_milli);
+        lock(&self.model).set_fails_all(knobs.fail_all);
+        lock(&self.model).set_slowdown(knobs.slowdown_milli);
         *lock(&self.knobs) = knobs;
         Response::from_data(Vec::new())
     }
@@ -175,10 +175,10 @@
         url: &str,
         body: Vec<u8>,
     ) -> Response<std::io::Cursor<Vec<u8>>> {
-        let here = header(request, "stackpier-task")
-            .and_then(|text| run_of(&text))
-            .is_some_and(|run| lock(&self.model).runs(self.now(), run));
-        if !here {
+        let runs_here = header(request, "stackpier-task")
+            .and_then(|text| parse_run(&text))
+            .is_some_and(|run| lock(&self.model).is_running(self.now(), run));
+        if !runs_here {
             return refusal("not-here");
         }
         if self.busy.fetch_add(1, Ordering::SeqCst) >= self.options.slots {
@@ -193,7 +193,7 @@
         let extra = lock(&self.knobs).extra_ms;
         thread::sleep(Duration::from_millis(self.options.work_ms + extra));
         self.busy.fetch_sub(1, Ordering::SeqCst);
-        with(
+        with_header(
             Response::from_data(body),
             "x-worker",
             self.options.name.as_str(),
@@ -203,14 +203,14 @@
 
 fn refusal(reason: &str) -> Response<std::io::Cursor<Vec<u8>>> {
     let response = Response::from_data(Vec::new()).with_status_code(503);
-    with(
-        with(response, "stackpier-ran", "no"),
+    with_header(
+        with_header(response, "stackpier-ran", "no"),
         "stackpier-refused",
         reason,
     )
 }
 
-fn with(
+fn with_header(
     mut response: Response<std::io::Cursor<Vec<u8>>>,
     name: &str,
     value: &str,
@@ -227,7 +227,7 @@
     found.map(|header| header.value.as_str().to_owned())
 }
 
-fn run_of(text: &str) -> Option<Run> {
+fn parse_run(text: &str) -> Option<Run> {
     let mut parts = text.split('.');
     let job = Job(parts.next()?.parse().ok()?);
     let index = parts.next()?.parse().ok()?;
