--- a/crates/stackpier-testkit/src/caller.rs
+++ b/crates/stackpier-testkit/src/caller.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Callers' requests, as a test sends them.
+//! Sends requests as callers do.
 
 use std::net::SocketAddr;
 
@@ -9,71 +9,71 @@
 use stackpier_protocol::operator::Failure;
 use uuid::Uuid;
 
-/// TIMEOUT_S bounds one request, in seconds.
+/// TIMEOUT_S is the time after which a request is given up, in seconds.
 const TIMEOUT_S: u64 = 30;
 
-/// Call is one request of a caller.
+/// Call is a request of a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The callers' port of a daemon.
+    /// The callers' port of the daemon that it is sent to.
     pub to: SocketAddr,
-    /// The service.
+    /// The service that it is for.
     pub service: String,
     /// The body, which the stand-in worker echoes.
     pub body: String,
-    /// The key, for a request that must not be repeated.
+    /// The idempotency key, for a request that must run at most once.
     pub key: Option<Uuid>,
     /// Whether it is marked as the first attempt.
-    pub first: bool,
-    /// How long the caller waits, in milliseconds.
+    pub is_first_attempt: bool,
+    /// The deadline that it gives the daemon, in milliseconds from now.
     pub deadline_ms: u64,
 }
 
-/// Answer is what the caller got.
+/// Answer is the outcome of a call for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The whole answer of an upstream.
+    /// The complete answer of an upstream.
     Done(String),
-    /// An error that says whether the request ran.
+    /// An error, and whether the request ran.
     Failed(Kind, Ran),
     /// No connection: the request was not even sent.
     NotConnected,
-    /// No answer that says anything, as when the daemon was killed.
-    Nothing,
+    /// No readable answer, for example because the daemon was killed.
+    NoAnswer,
 }
 
 impl Call {
-    /// get is a request that may be repeated.
-    pub fn get(to: SocketAddr, service: &str, body: &str) -> Call {
+    /// repeatable returns a request that may run more than once.
+    pub fn repeatable(to: SocketAddr, service: &str, body: &str) -> Call {
         Call {
             to,
             service: service.to_owned(),
             body: body.to_owned(),
             key: None,
-            first: false,
+            is_first_attempt: false,
             deadline_ms: 10_000,
         }
     }
 
-    /// once is a first attempt at a request that must not be repeated.
-    pub fn once(to: SocketAddr, service: &str, body: &str) -> Call {
+    /// keyed returns the first attempt of a request that must run at most once.
+    pub fn keyed(to: SocketAddr, service: &str, body: &str) -> Call {
         Call {
             key: Some(Uuid::now_v7()),
-            first: true,
-            ..Call::get(to, service, body)
+            is_first_attempt: true,
+            ..Call::repeatable(to, service, body)
         }
     }
 
-    /// again is a repeat of the same request through another daemon.
-    pub fn again(&self, to: SocketAddr) -> Call {
+    /// repeat returns a repeat of the same request through another daemon.
+    pub fn repeat(&self, to: SocketAddr) -> Call {
         Call {
             to,
-            first: false,
+            is_first_attempt: false,
             ..self.clone()
         }
     }
 
-    /// send sends the request and waits for its answer.
+    /// send sends the request and waits for the answer.
     pub fn send(&self) -> Answer {
         let url = format!("http://{}/{}/echo", self.to, self.service);
         let mut request = minreq::post(url)
@@ -84,22 +84,22 @@
             Some(key) => request.with_header("idempotency-key", key.to_string()),
             None => request.with_header("stackpier-repeatable", "yes"),
         };
-        if self.first {
+        if self.is_first_attempt {
             request = request.with_header("stackpier-attempt", "1");
         }
         match request.send() {
-            Ok(response) => read(&response).unwrap_or(Answer::Nothing),
-            Err(minreq::Error::IoError(error)) if refused(&error) => Answer::NotConnected,
-            Err(_) => Answer::Nothing,
+            Ok(response) => parse_answer(&response).unwrap_or(Answer::NoAnswer),
+            Err(minreq::Error::IoError(error)) if is_refused(&error) => Answer::NotConnected,
+            Err(_) => Answer::NoAnswer,
         }
     }
 }
 
-fn refused(error: &std::io::Error) -> bool {
+fn is_refused(error: &std::io::Error) -> bool {
     error.kind() == std::io::ErrorKind::ConnectionRefused
 }
 
-fn read(response: &Response) -> Result<Answer> {
+fn parse_answer(response: &Response) -> Result<Answer> {
     if response.status_code == 200 {
         return Ok(Answer::Done(response.as_str()?.to_owned()));
     }
--- a/crates/stackpier-testkit/src/cluster.rs
+++ b/crates/stackpier-testkit/src/cluster.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A small deployment on loopback: the platform, workers and daemons of
-//! several data centres, with a proxy on each way that tests cut.
+//! A small deployment on loopback: the platform, and the workers and daemons of
+//! several data centres, with proxies on the connections that tests cut.
 
 mod control;
 mod intents;
@@ -26,34 +26,34 @@
 pub use control::get;
 pub use intents::{batch, service};
 
-/// CAPACITY is what each worker offers.
+/// CAPACITY is the capacity of each worker.
 pub const CAPACITY: Size = Size {
     milli_cores: 32_000,
     memory_mib: 125_000,
     accelerators: 0,
 };
 
-/// CLUSTERS counts the deployments of this process, for their folders.
+/// CLUSTERS counts the deployments of this process, which number their folders.
 static CLUSTERS: AtomicU32 = AtomicU32::new(0);
 
-/// Plan is the shape of a deployment.
+/// Plan describes a deployment.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Count of data centres.
+    /// The number of data centres.
     pub data_centres: usize,
-    /// Daemons in each.
+    /// Daemons in each data centre.
     pub daemons: usize,
-    /// Workers in each.
+    /// Workers in each data centre.
     pub workers: usize,
     /// Workers in a rack.
     pub workers_per_rack: usize,
-    /// Slots of a worker.
+    /// Requests that a worker runs at once.
     pub slots: usize,
-    /// Requests in service at a worker at once, refused ones included.
+    /// Requests that a worker handles at once, refused ones included.
     pub connections: usize,
-    /// Time a request takes at a worker, in milliseconds.
+    /// The time that a request takes at a worker, in milliseconds.
     pub work_ms: u64,
-    /// Settings merged into every daemon's.
+    /// The `times` section of every daemon's settings.
     pub times: Value,
 }
 
@@ -72,26 +72,26 @@
     }
 }
 
-/// Daemon is one daemon and its addresses.
+/// Daemon holds a daemon and its addresses.
 pub struct Daemon {
-    /// Name of its VM.
+    /// The name of its VM.
     pub vm: Name,
     /// Its data centre.
     pub data_centre: Name,
-    /// Callers' port.
+    /// Its callers' port.
     pub callers: SocketAddr,
-    /// Operators' port.
+    /// Its operators' port.
     pub operators: SocketAddr,
-    /// Peers' port.
+    /// Its peers' port.
     pub peers: SocketAddr,
-    /// Control port of the proxy between it and the platform.
-    pub platform_switch: SocketAddr,
+    /// The control port of the proxy between it and the platform.
+    pub platform_proxy_control: SocketAddr,
     /// The process, unless it was killed.
     pub process: Option<Process>,
     settings: PathBuf,
 }
 
-/// Worker is one worker and its addresses.
+/// Worker holds a worker and its addresses.
 pub struct Worker {
     /// Its name.
     pub name: Name,
@@ -101,15 +101,15 @@
     pub rack: Name,
     /// Its own port.
     pub address: SocketAddr,
-    /// Port of the proxy that daemons reach it by.
-    pub reached: SocketAddr,
-    /// Control port of that proxy.
-    pub switch: SocketAddr,
+    /// The port of the proxy by which daemons reach it.
+    pub proxied_address: SocketAddr,
+    /// The control port of that proxy.
+    pub proxy_control: SocketAddr,
     /// The process, unless it was killed.
     pub process: Option<Process>,
 }
 
-/// Cluster is a running deployment. Everything ends when it is dropped.
+/// Cluster is a running deployment. Dropping it kills all its processes.
 pub struct Cluster {
     /// The daemons, data centre by data centre.
     pub daemons: Vec<Daemon>,
@@ -117,36 +117,38 @@
     pub workers: Vec<Worker>,
     /// One port of the platform for each data centre.
     pub platforms: Vec<SocketAddr>,
-    /// Control ports of the proxies from one data centre to another.
+    /// The control ports of the proxies, by the data centres from and to which they
+    /// lead.
     pub links: BTreeMap<(usize, usize), SocketAddr>,
-    /// Where settings and logs are.
+    /// The folder with settings and logs. It is kept when a test panics.
     pub folder: PathBuf,
     plan: Plan,
-    /// Ports of the proxies from a data centre to a daemon in another one.
+    /// The ports of the proxies from a data centre to a daemon in another one.
     routes: BTreeMap<(usize, Name), SocketAddr>,
-    /// Ports of the proxies from each daemon to the platform.
+    /// The ports of the proxies from each daemon to the platform.
     platform_routes: BTreeMap<Name, SocketAddr>,
     roster: Roster,
-    others: Vec<Process>,
+    /// The processes of the platform and the proxies.
+    stand_ins: Vec<Process>,
 }
 
-/// data_centre returns the name of a data centre by its number.
+/// data_centre returns the name of the data centre with this number.
 pub fn data_centre(number: usize) -> Name {
     name(&format!("dc-{}", letter(number)))
 }
 
-/// letter returns the letter of a data centre in names.
+/// letter returns the letter that stands for a data centre in names.
 fn letter(centre: usize) -> char {
     char::from(b'a' + centre as u8)
 }
 
-/// name builds a name that is known to be valid.
+/// name returns a text that is known to be a valid name as one.
 pub fn name(text: &str) -> Name {
     Name::try_from(text).unwrap_or_else(|error| panic!("'{text}': {error}"))
 }
 
 impl Cluster {
-    /// start starts everything and waits until each daemon is ready.
+    /// start starts all processes and waits until each daemon is ready.
     pub fn start(plan: Plan) -> Result<Cluster> {
         let number = CLUSTERS.fetch_add(1, Ordering::SeqCst);
         let folder = format!("stackpier-{}-{number}", std::process::id());
@@ -162,23 +164,24 @@
             routes: BTreeMap::new(),
             platform_routes: BTreeMap::new(),
             roster: Roster::default(),
-            others: Vec::new(),
+            stand_ins: Vec::new(),
         };
         cluster.lay_out();
         cluster.start_links()?;
         cluster.start_platform()?;
         cluster.start_workers()?;
-        for place in 0..cluster.daemons.len() {
-            cluster.write_settings(place)?;
-            cluster.start_platform_proxy(place)?;
-            cluster.start_daemon(place)?;
+        for index in 0..cluster.daemons.len() {
+            cluster.write_settings(index)?;
+            cluster.start_platform_proxy(index)?;
+            cluster.start_daemon(index)?;
         }
-        for place in 0..cluster.daemons.len() {
-            cluster.await_ready(place)?;
+        for index in 0..cluster.daemons.len() {
+            cluster.await_ready(index)?;
         }
         Ok(cluster)
     }
 
+    /// lay_out gives all daemons and workers their names and addresses.
     fn lay_out(&mut self) {
         for centre in 0..self.plan.data_centres {
             let letter = letter(centre);
@@ -191,7 +194,7 @@
                     callers: ports::free(),
                     operators: ports::free(),
                     peers: ports::free(),
-                    platform_switch: ports::free(),
+                    platform_proxy_control: ports::free(),
                     process: None,
                     settings: self.folder.join(format!("{vm}.json")),
                 });
@@ -203,16 +206,16 @@
                     data_centre: data_centre(centre),
                     rack: name(&format!("rack-{letter}{rack}")),
                     address: ports::free(),
-                    reached: ports::free(),
-                    switch: ports::free(),
+                    proxied_address: ports::free(),
+                    proxy_control: ports::free(),
                     process: None,
                 });
             }
         }
-        self.roster = self.first_roster();
+        self.roster = self.initial_roster();
     }
 
-    fn first_roster(&self) -> Roster {
+    fn initial_roster(&self) -> Roster {
         let entry = |daemon: &Daemon| Vm {
             name: daemon.vm,
             role: Role::Entry,
@@ -227,7 +230,7 @@
             role: Role::Worker,
             data_centre: worker.data_centre,
             rack: Some(worker.rack),
-            address: worker.reached.to_string(),
+            address: worker.proxied_address.to_string(),
             capacity: CAPACITY,
             standing: Standing::Live,
         };
@@ -237,9 +240,9 @@
         }
     }
 
-    /// view is the list as one data centre sees it: daemons of others by way
-    /// of the proxy between the two.
-    fn view(&self, centre: usize) -> Roster {
+    /// roster_seen_from returns the list of VMs as a data centre sees it: daemons in
+    /// others have the address of the proxy between the two.
+    fn roster_seen_from(&self, centre: usize) -> Roster {
         let seen = |vm: &Vm| {
             let route = self.routes.get(&(centre, vm.name));
             let address = route.map_or_else(|| vm.address.clone(), SocketAddr::to_string);
@@ -253,32 +256,36 @@
         }
     }
 
-    /// platform_of returns the port of the proxy between a daemon and the
-    /// platform. It is kept beside the settings, so that a restart finds it.
-    fn platform_of(&self, place: usize) -> SocketAddr {
-        let route = self.platform_routes.get(&self.daemons[place].vm);
-        route.copied().unwrap_or(self.platforms[self.centre(place)])
+    /// platform_address returns the port of the proxy between a daemon and the
+    /// platform, which a restarted daemon uses again, or the platform's own port before
+    /// the proxy is started.
+    fn platform_address(&self, index: usize) -> SocketAddr {
+        let route = self.platform_routes.get(&self.daemons[index].vm);
+        route
+            .copied()
+            .unwrap_or(self.platforms[self.centre_of(index)])
     }
 
-    fn centre(&self, place: usize) -> usize {
-        place / self.plan.daemons
+    /// centre_of returns the number of a daemon's data centre.
+    fn centre_of(&self, index: usize) -> usize {
+        index / self.plan.daemons
     }
 
-    /// worker returns the worker of this name.
+    /// worker returns the worker with this name.
     pub fn worker(&self, name: Name) -> Result<&Worker> {
         let found = self.workers.iter().find(|worker| worker.name == name);
         found.context("no such worker")
     }
 
-    /// list sets what the platform says of a VM.
-    pub fn list(&mut self, vm: Name, standing: Standing) -> Result<()> {
+    /// set_standing sets the standing of a VM in the platform's list.
+    pub fn set_standing(&mut self, vm: Name, standing: Standing) -> Result<()> {
         let found = self.roster.vms.iter_mut().find(|row| row.name == vm);
-        found.context("the VM is listed")?.standing = standing;
+        found.context("the VM is not listed")?.standing = standing;
         for (centre, address) in self.platforms.iter().enumerate() {
             post(
                 *address,
                 "/roster",
-                &serde_json::to_vec(&self.view(centre))?,
+                &serde_json::to_vec(&self.roster_seen_from(centre))?,
             )?;
         }
         Ok(())
--- a/crates/stackpier-testkit/src/cluster/intents.rs
+++ b/crates/stackpier-testkit/src/cluster/intents.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Intents that tests submit.
+//! Builds the intents that tests submit.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,8 @@
 
 use super::data_centre;
 
-/// service builds a service intent with replicas in the first data centres.
+/// service builds a service intent. `replicas` lists the number of replicas in each
+/// data centre, from the first one on.
 pub fn service(label: &str, replicas: &[u32]) -> Value {
     let replicas: BTreeMap<Name, u32> = replicas
         .iter()
@@ -25,7 +26,7 @@
     }})
 }
 
-/// batch builds a batch intent in the first data centre.
+/// batch builds a batch intent for the first data centre.
 pub fn batch(label: &str, tasks: u32, milli_cores: u32, run_time_ms: u64) -> Value {
     json!({"batch": {
         "name": label,
--- a/crates/stackpier-testkit/src/cluster/start.rs
+++ b/crates/stackpier-testkit/src/cluster/start.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Starting and ending the processes of a deployment.
+//! Starts and kills the processes of a deployment.
 
 use std::{fs, net::SocketAddr, path::Path};
 
@@ -15,21 +15,22 @@
 use crate::{ports, process::Process, wait};
 
 impl Cluster {
-    /// start_links starts a proxy for each ordered pair of data centres.
+    /// start_links starts a proxy for each ordered pair of data centres, with a port
+    /// for each daemon of the second one.
     pub(super) fn start_links(&mut self) -> Result<()> {
         for from in 0..self.plan.data_centres {
             for to in (0..self.plan.data_centres).filter(|to| *to != from) {
                 let control = ports::free();
                 let mut forwards = Vec::new();
-                let there = |daemon: &&Daemon| daemon.data_centre == data_centre(to);
-                for daemon in self.daemons.iter().filter(there) {
+                let is_in_target = |daemon: &&Daemon| daemon.data_centre == data_centre(to);
+                for daemon in self.daemons.iter().filter(is_in_target) {
                     let listen = ports::free();
                     self.routes.insert((from, daemon.vm), listen);
                     forwards.push((listen, daemon.peers));
                 }
                 self.links.insert((from, to), control);
                 let log = self.folder.join(format!("link-{from}-{to}.log"));
-                self.others.push(proxy(control, &forwards, &log)?);
+                self.stand_ins.push(start_proxy(control, &forwards, &log)?);
             }
         }
         Ok(())
@@ -39,32 +40,32 @@
         let mut args = vec!["platform".to_owned()];
         for (centre, listen) in self.platforms.iter().enumerate() {
             let file = self.folder.join(format!("roster-{centre}.json"));
-            fs::write(&file, serde_json::to_vec(&self.view(centre))?)?;
+            fs::write(&file, serde_json::to_vec(&self.roster_seen_from(centre))?)?;
             args.extend(["--listen".to_owned(), listen.to_string()]);
             args.extend(["--roster".to_owned(), file.display().to_string()]);
         }
         let log = self.folder.join("platform.log");
-        self.others
+        self.stand_ins
             .push(Process::start("stackpier-standin", &args, &log)?);
         let address = self.platforms[0];
         wait::until("the platform answers", || get(address, "/stats").is_ok())
     }
 
     pub(super) fn start_workers(&mut self) -> Result<()> {
-        for place in 0..self.workers.len() {
-            self.start_worker(place)?;
-            let worker = &self.workers[place];
-            let forwards = [(worker.reached, worker.address)];
+        for index in 0..self.workers.len() {
+            self.start_worker(index)?;
+            let worker = &self.workers[index];
+            let forwards = [(worker.proxied_address, worker.address)];
             let log = self.folder.join(format!("{}-proxy.log", worker.name));
-            let process = proxy(worker.switch, &forwards, &log)?;
-            self.others.push(process);
+            let process = start_proxy(worker.proxy_control, &forwards, &log)?;
+            self.stand_ins.push(process);
         }
         Ok(())
     }
 
-    /// start_worker starts a worker that does not run.
-    pub fn start_worker(&mut self, place: usize) -> Result<()> {
-        let worker = &self.workers[place];
+    /// start_worker starts a worker that is not running.
+    pub fn start_worker(&mut self, index: usize) -> Result<()> {
+        let worker = &self.workers[index];
         let args = [
             "worker".to_owned(),
             "--listen".to_owned(),
@@ -80,12 +81,12 @@
         ];
         let log = self.folder.join(format!("{}.log", worker.name));
         let process = Process::start("stackpier-standin", &args, &log)?;
-        self.workers[place].process = Some(process);
+        self.workers[index].process = Some(process);
         Ok(())
     }
 
-    pub(super) fn write_settings(&self, place: usize) -> Result<()> {
-        let daemon = &self.daemons[place];
+    pub(super) fn write_settings(&self, index: usize) -> Result<()> {
+        let daemon = &self.daemons[index];
         let seeds = self
             .daemons
             .iter()
@@ -97,7 +98,7 @@
             "callers": daemon.callers,
             "operators": daemon.operators,
             "peers": daemon.peers,
-            "platform": self.platform_of(place),
+            "platform": self.platform_address(index),
             "seeds": seeds,
             "times": self.plan.times,
         });
@@ -107,21 +108,22 @@
         )?)
     }
 
-    pub(super) fn start_platform_proxy(&mut self, place: usize) -> Result<()> {
+    pub(super) fn start_platform_proxy(&mut self, index: usize) -> Result<()> {
         let listen = ports::free();
-        let vm = self.daemons[place].vm;
+        let vm = self.daemons[index].vm;
         self.platform_routes.insert(vm, listen);
-        self.write_settings(place)?;
-        let to = self.platforms[self.centre(place)];
+        self.write_settings(index)?;
+        let to = self.platforms[self.centre_of(index)];
         let log = self.folder.join(format!("{vm}-platform.log"));
-        let control = self.daemons[place].platform_switch;
-        self.others.push(proxy(control, &[(listen, to)], &log)?);
+        let control = self.daemons[index].platform_proxy_control;
+        self.stand_ins
+            .push(start_proxy(control, &[(listen, to)], &log)?);
         Ok(())
     }
 
-    /// start_daemon starts a daemon that does not run.
-    pub fn start_daemon(&mut self, place: usize) -> Result<()> {
-        let daemon = &mut self.daemons[place];
+    /// start_daemon starts a daemon that is not running.
+    pub fn start_daemon(&mut self, index: usize) -> Result<()> {
+        let daemon = &mut self.daemons[index];
         let log = self.folder.join(format!("{}.log", daemon.vm));
         let settings = daemon.settings.display().to_string();
         let process = Process::start("stackpierd", &["--settings".to_owned(), settings], &log)?;
@@ -129,27 +131,27 @@
         Ok(())
     }
 
-    /// await_ready waits until a daemon says that it is ready.
-    pub fn await_ready(&self, place: usize) -> Result<()> {
-        let address = self.daemons[place].operators;
+    /// await_ready waits until a daemon reports that it is ready.
+    pub fn await_ready(&self, index: usize) -> Result<()> {
+        let address = self.daemons[index].operators;
         wait::until("the daemon is ready", || get(address, "/readyz").is_ok())
     }
 
-    /// kill_daemon ends a daemon at once.
-    pub fn kill_daemon(&mut self, place: usize) -> Result<()> {
-        let process = self.daemons[place].process.take();
-        process.context("the daemon runs")?.kill()
+    /// kill_daemon kills a daemon.
+    pub fn kill_daemon(&mut self, index: usize) -> Result<()> {
+        let process = self.daemons[index].process.take();
+        process.context("the daemon is not running")?.kill()
     }
 
-    /// kill_worker ends a worker at once.
-    pub fn kill_worker(&mut self, place: usize) -> Result<()> {
-        let process = self.workers[place].process.take();
-        process.context("the worker runs")?.kill()
+    /// kill_worker kills a worker.
+    pub fn kill_worker(&mut self, index: usize) -> Result<()> {
+        let process = self.workers[index].process.take();
+        process.context("the worker is not running")?.kill()
     }
 }
 
-/// proxy starts a proxy that forwards each port to another one.
-fn proxy(
+/// start_proxy starts a proxy that forwards each of its ports to another one.
+fn start_proxy(
     control: SocketAddr,
     forwards: &[(SocketAddr, SocketAddr)],
     log: &Path,
--- a/crates/stackpier-testkit/src/lib.rs
+++ b/crates/stackpier-testkit/src/lib.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Real processes on loopback for the demo and the integration tests: daemons,
-//! stand-ins, and proxies between data centres and towards the platform.
+//! Starts and controls real processes on loopback for the demo and the integration
+//! tests: daemons, stand-ins, and proxies between data centres and to the platform.
 
 pub mod caller;
 pub mod cluster;
--- a/crates/stackpier-testkit/src/oracle.rs
+++ b/crates/stackpier-testkit/src/oracle.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What must hold of the workers' logs, whatever was done to the processes.
+//! Checks of the workers' logs that must hold whatever faults were injected.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
 
 use crate::cluster::Cluster;
 
-/// Spans are the runs of all workers, with the worker of each.
+/// Spans lists the runs of all workers, each with its worker.
 pub type Spans = Vec<(Name, Span)>;
 
-/// spans collects the runs of all workers that run. Logs of a worker that was
-/// killed must be collected before.
+/// spans returns the runs from the logs of all running workers. A worker that is
+/// killed takes its log with it.
 pub fn spans(cluster: &Cluster) -> Result<Spans> {
     let mut spans = Vec::new();
-    for (place, worker) in cluster.workers.iter().enumerate() {
+    for (index, worker) in cluster.workers.iter().enumerate() {
         if worker.process.is_some() {
-            let log = cluster.log(place)?;
+            let log = cluster.log(index)?;
             spans.extend(log.spans.into_iter().map(|span| (worker.name, span)));
         }
     }
     Ok(spans)
 }
 
-/// check asserts that no task ran in two places at once, that no run started
-/// twice, and that a run after an eviction resumed from what it saved.
+/// check verifies that no task ran on two workers at once, that no run started
+/// twice, and that a run after an eviction resumed from the saved checkpoint.
 pub fn check(spans: &Spans) -> Result<()> {
     let mut by_task: BTreeMap<Task, Vec<&(Name, Span)>> = BTreeMap::new();
     for entry in spans {
@@ -42,6 +42,7 @@
     Ok(())
 }
 
+/// check_pair verifies this for two successive runs of a task.
 fn check_pair(one: &(Name, Span), next: &(Name, Span)) -> Result<()> {
     let (first, second) = (&one.1, &next.1);
     ensure!(
--- a/crates/stackpier-testkit/src/process.rs
+++ b/crates/stackpier-testkit/src/process.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Child processes that end with the test that started them.
+//! Child processes that are killed when the test that started them ends.
 
 use std::{
     fs::File,
@@ -9,20 +9,20 @@
 
 use anyhow::{Context, Result, ensure};
 
-/// Process is a running child.
+/// Process is a child process. Dropping it kills it.
 pub struct Process {
     child: Child,
     stopped: bool,
 }
 
-/// Signal is what a test sends to a child.
+/// Signal is a signal that a test sends to a child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Freeze.
+    /// Suspends it.
     Stop,
-    /// Thaw.
+    /// Resumes it.
     Continue,
-    /// Ask to stop.
+    /// Asks it to stop.
     Terminate,
 }
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// binary returns the path of a program of this workspace, beside the running
-/// one.
+/// binary returns the path of a program of this workspace. It looks for it in the
+/// folders above the running program.
 pub fn binary(name: &str) -> Result<PathBuf> {
     let running = std::env::current_exe()?;
     let mut folders = running.ancestors().skip(1);
@@ -49,12 +49,12 @@
 }
 
 impl Process {
-    /// start runs a program of this workspace with its output in `log`.
+    /// start runs a program of this workspace and appends its output to `log`.
     pub fn start<S: AsRef<std::ffi::OsStr>>(name: &str, args: &[S], log: &Path) -> Result<Process> {
         Process::start_with(name, args, &[], log)
     }
 
-    /// start_with does the same with some environment variables.
+    /// start_with runs a program like `start`, with more environment variables.
     pub fn start_with<S: AsRef<std::ffi::OsStr>>(
         name: &str,
         args: &[S],
@@ -75,7 +75,7 @@
         })
     }
 
-    /// id returns the child's process id.
+    /// id returns the process id of the child.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -89,14 +89,14 @@
         Ok(())
     }
 
-    /// kill ends the child at once.
+    /// kill kills the child and waits until it has ended.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// exited returns how the child ended, if it has.
+    /// exited returns the exit status of the child if it has ended.
     pub fn exited(&mut self) -> Result<Option<ExitStatus>> {
         Ok(self.child.try_wait()?)
     }
@@ -104,7 +104,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Both calls may fail, as the child may have ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/stackpier-testkit/src/wait.rs
+++ b/crates/stackpier-testkit/src/wait.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Waiting for a condition under a generous bound.
+//! Waits for a condition, with a generous timeout.
 
 use std::{
     thread,
@@ -8,20 +8,21 @@
 
 use anyhow::{Result, bail};
 
-/// BOUND is how long a condition may take. It is far over what is expected, so
-/// that a slow machine does not change the verdict.
-pub const BOUND: Duration = Duration::from_secs(60);
-/// PAUSE is the time between two looks.
-const PAUSE: Duration = Duration::from_millis(20);
+/// TIMEOUT is how long a condition may take. It is far longer than expected, so that
+/// a slow machine does not fail a test.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
+/// POLL_INTERVAL is the time between two checks of the condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// until waits for a condition and names it when it does not come.
-pub fn until<F: FnMut() -> bool>(what: &str, mut holds: F) -> Result<()> {
+/// until waits until `holds` returns true. On a timeout, the error names the
+/// condition.
+pub fn until<F: FnMut() -> bool>(condition: &str, mut holds: F) -> Result<()> {
     let started = Instant::now();
     while !holds() {
-        if started.elapsed() > BOUND {
-            bail!("not within {BOUND:?}: {what}");
+        if started.elapsed() > TIMEOUT {
+            bail!("not within {TIMEOUT:?}: {condition}");
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/stackpier-testkit/tests/config.rs
+++ b/crates/stackpier-testkit/tests/config.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What was accepted is in force everywhere and never reverts; what was not
-//! accepted never takes force. With real processes.
+//! An accepted change takes effect on every daemon and is never reverted. A refused
+//! change never takes effect. Runs real processes.
 
 use std::thread;
 
@@ -13,10 +13,10 @@
     wait,
 };
 
-/// OPERATORS is the count of operators that race.
+/// OPERATORS is the number of operators that submit changes at the same time.
 const OPERATORS: usize = 4;
-/// CHANGES is how many changes each makes.
-const CHANGES: usize = 6;
+/// CHANGES_PER_OPERATOR is the number of changes that each of them submits.
+const CHANGES_PER_OPERATOR: usize = 6;
 
 fn start() -> Result<Cluster> {
     Cluster::start(Plan {
@@ -28,86 +28,89 @@
     })
 }
 
-fn version(cluster: &Cluster, place: usize, name: &str) -> Option<u64> {
-    let (code, text) = cluster.tool(place, &["--json", "get", name]).ok()?;
+fn version(cluster: &Cluster, index: usize, name: &str) -> Option<u64> {
+    let (code, text) = cluster.run_tool(index, &["--json", "get", name]).ok()?;
     let object: Value = serde_json::from_str(&text).ok()?;
     (code == 0).then(|| object["version"].as_u64()).flatten()
 }
 
-fn in_force(cluster: &Cluster, name: &str, wanted: u64) -> Result<()> {
-    for place in 0..cluster.daemons.len() {
+fn await_in_force(cluster: &Cluster, name: &str, wanted: u64) -> Result<()> {
+    for index in 0..cluster.daemons.len() {
         wait::until("the version is in force", || {
-            version(cluster, place, name) >= Some(wanted)
+            version(cluster, index, name) >= Some(wanted)
         })?;
     }
     Ok(())
 }
 
-fn outage(cluster: &Cluster, outage: bool) -> Result<()> {
-    cluster.faults(Faults {
+fn set_outage(cluster: &Cluster, outage: bool) -> Result<()> {
+    cluster.set_faults(Faults {
         outage,
         ..Faults::default()
     })
 }
 
 #[test]
-fn accepted_just_before_an_outage_is_in_force_and_survives_restarts() -> Result<()> {
+fn change_accepted_just_before_an_outage_takes_effect_and_survives_restarts() -> Result<()> {
     let mut cluster = start()?;
     cluster.submit(0, &service("fleet", &[1, 0]))?;
-    in_force(&cluster, "fleet", 1)?;
+    await_in_force(&cluster, "fleet", 1)?;
     cluster.submit(0, &service("fleet", &[1, 1]))?;
-    outage(&cluster, true)?;
-    in_force(&cluster, "fleet", 2)?;
-    // Fresh VMs start from their peers while the platform is away.
-    for place in [1, 3] {
-        cluster.kill_daemon(place)?;
-        cluster.start_daemon(place)?;
-        cluster.await_ready(place)?;
+    set_outage(&cluster, true)?;
+    await_in_force(&cluster, "fleet", 2)?;
+    // During the outage, restarted daemons get the state from their peers.
+    for index in [1, 3] {
+        cluster.kill_daemon(index)?;
+        cluster.start_daemon(index)?;
+        cluster.await_ready(index)?;
     }
-    in_force(&cluster, "fleet", 2)?;
+    await_in_force(&cluster, "fleet", 2)?;
     let refused = cluster.submit(2, &service("fleet", &[0, 0]));
-    ensure!(refused.is_err(), "accepted without a store");
-    outage(&cluster, false)?;
+    ensure!(
+        refused.is_err(),
+        "a change was accepted during an outage of the store"
+    );
+    set_outage(&cluster, false)?;
     cluster.submit(2, &service("other", &[0, 0]))?;
-    in_force(&cluster, "other", 1)?;
-    for place in 0..cluster.daemons.len() {
+    await_in_force(&cluster, "other", 1)?;
+    for index in 0..cluster.daemons.len() {
         ensure!(
-            version(&cluster, place, "fleet") == Some(2),
-            "what was refused took force"
+            version(&cluster, index, "fleet") == Some(2),
+            "a refused change took effect"
         );
     }
     Ok(())
 }
 
 #[test]
-fn daemon_cut_from_its_peers_or_from_the_store_still_learns() -> Result<()> {
+fn daemon_cut_off_from_its_peers_or_from_the_store_still_receives_changes() -> Result<()> {
     let cluster = start()?;
-    cluster.link(0, 1, Mode::Cut)?;
+    cluster.set_link_mode(0, 1, Mode::Cut)?;
     cluster.submit(0, &service("by-store", &[1, 0]))?;
-    in_force(&cluster, "by-store", 1)?;
-    cluster.link(0, 1, Mode::Pass)?;
-    cluster.switch(cluster.daemons[3].platform_switch, Mode::Cut)?;
+    await_in_force(&cluster, "by-store", 1)?;
+    cluster.set_link_mode(0, 1, Mode::Pass)?;
+    cluster.set_proxy_mode(cluster.daemons[3].platform_proxy_control, Mode::Cut)?;
     cluster.submit(0, &service("by-peers", &[1, 0]))?;
-    in_force(&cluster, "by-peers", 1)
+    await_in_force(&cluster, "by-peers", 1)
 }
 
 #[test]
 fn racing_operators_with_lost_replies_lose_no_change() -> Result<()> {
     let cluster = start()?;
     cluster.submit(0, &service("fleet", &[0, 0]))?;
-    in_force(&cluster, "fleet", 1)?;
-    cluster.faults(Faults {
+    await_in_force(&cluster, "fleet", 1)?;
+    cluster.set_faults(Faults {
         lose_replies: 10,
         ..Faults::default()
     })?;
-    let race = |operator: usize| {
+    let submit_changes = |operator: usize| {
         let mut accepted = 0;
-        for _ in 0..CHANGES {
-            let place = operator % cluster.daemons.len();
-            let seen = version(&cluster, place, "fleet").unwrap_or(0).to_string();
+        for _ in 0..CHANGES_PER_OPERATOR {
+            let index = operator % cluster.daemons.len();
+            let seen = version(&cluster, index, "fleet").unwrap_or(0).to_string();
             let file = cluster.folder.join("fleet.json").display().to_string();
-            let words = ["--expect", &seen, "submit", &file];
-            match cluster.tool(place, &words) {
+            let args = ["--expect", &seen, "submit", &file];
+            match cluster.run_tool(index, &args) {
                 Ok((0, _)) => accepted += 1,
                 Ok((code, text)) => {
                     let conflict = Kind::Conflict.answer().exit;
@@ -120,20 +123,20 @@
     };
     let accepted: u64 = thread::scope(|scope| {
         let operators: Vec<_> = (0..OPERATORS)
-            .map(|n| scope.spawn(move || race(n)))
+            .map(|n| scope.spawn(move || submit_changes(n)))
             .collect();
         operators
             .into_iter()
             .map(|operator| operator.join().unwrap_or(0))
             .sum()
     });
-    ensure!(accepted > 0, "nobody won");
-    in_force(&cluster, "fleet", 1 + accepted)?;
-    for place in 0..cluster.daemons.len() {
-        let last = version(&cluster, place, "fleet");
+    ensure!(accepted > 0, "no change was accepted");
+    await_in_force(&cluster, "fleet", 1 + accepted)?;
+    for index in 0..cluster.daemons.len() {
+        let last = version(&cluster, index, "fleet");
         ensure!(
             last == Some(1 + accepted),
-            "{accepted} accepted, at {last:?}"
+            "{accepted} changes were accepted, the version is {last:?}"
         );
     }
     Ok(())
--- a/crates/stackpier-testkit/tests/whole_path.rs
+++ b/crates/stackpier-testkit/tests/end_to_end.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A request and an intent go the whole way through real processes.
+//! A request and an intent pass through all processes, from the caller to the worker.
 
 use anyhow::Result;
 use stackpier_testkit::{
@@ -20,7 +20,7 @@
     for daemon in &cluster.daemons {
         let body = format!("from {}", daemon.vm);
         wait::until("the daemon answers", || {
-            Call::get(daemon.callers, "fleet", &body).send() == Answer::Done(body.clone())
+            Call::repeatable(daemon.callers, "fleet", &body).send() == Answer::Done(body.clone())
         })?;
     }
     Ok(())
@@ -31,7 +31,7 @@
     let cluster = Cluster::start(Plan::default())?;
     cluster.submit(0, &batch("ledger", 4, 1_000, 200))?;
     wait::until("all tasks are done", || {
-        let shown = cluster.tool(1, &["status", "ledger"]);
+        let shown = cluster.run_tool(1, &["status", "ledger"]);
         shown.is_ok_and(|(_, text)| text.matches("finished").count() == 4)
     })
 }
--- a/crates/stackpier-testkit/tests/input.rs
+++ b/crates/stackpier-testkit/tests/input.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Bad input gets a clear answer that says what is wrong: callers' requests,
-//! operators' intents, settings.
+//! Bad input in callers' requests, operators' intents and settings gets an answer that
+//! names the error.
 
 use std::{
     fs,
@@ -22,7 +22,7 @@
 };
 use uuid::Uuid;
 
-/// One daemon without a worker serves all cases.
+/// CLUSTER is the deployment of all cases: one daemon without a worker.
 static CLUSTER: LazyLock<Cluster> = LazyLock::new(|| {
     let plan = Plan {
         daemons: 1,
@@ -34,7 +34,7 @@
         cluster.submit(0, &service("fleet", &[1]))?;
         wait::until("the service is known", || {
             cluster
-                .tool(0, &["get", "fleet"])
+                .run_tool(0, &["get", "fleet"])
                 .is_ok_and(|(code, _)| code == 0)
         })?;
         Ok(cluster)
@@ -42,7 +42,7 @@
     started.unwrap_or_else(|error| panic!("{error:?}"))
 });
 
-/// exchange sends raw bytes and returns all that comes back.
+/// exchange sends raw bytes and returns the whole answer.
 fn exchange(to: SocketAddr, bytes: &[u8]) -> Result<String> {
     let mut stream = TcpStream::connect(to)?;
     stream.set_read_timeout(Some(Duration::from_secs(20)))?;
@@ -81,7 +81,7 @@
 )]
 #[case::bad_repeatable("/fleet/x", "stackpier-repeatable: maybe\r\n", "400", "yes or no")]
 #[case::no_upstream("/fleet/x", "stackpier-repeatable: yes\r\n", "503", "no-upstream")]
-fn caller_gets_what_is_wrong(
+fn answer_to_a_caller_names_the_error(
     #[case] path: &str,
     #[case] headers: &str,
     #[case] status: &str,
@@ -100,7 +100,7 @@
 #[rstest]
 #[case::old("0180a0a0-0000-7000-8000-000000000000", "key-expired")]
 #[case::future("f180a0a0-0000-7000-8000-000000000000", "key-from-future")]
-fn key_out_of_its_time_is_refused(#[case] key: &str, #[case] kind: &str) -> Result<()> {
+fn expired_and_future_keys_are_refused(#[case] key: &str, #[case] kind: &str) -> Result<()> {
     let again = format!("idempotency-key: {key}\r\n");
     let answer = exchange(callers(), post("/fleet/x", &again, "").as_bytes())?;
     assert!(answer.contains(kind), "{answer}");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn refused_repeat_says_unknown_and_a_first_attempt_not_run() -> Result<()> {
+fn refused_repeat_is_unknown_and_a_refused_first_attempt_not_run() -> Result<()> {
     let key = Uuid::now_v7();
     let repeat = format!("idempotency-key: {key}\r\n");
     let answer = exchange(callers(), post("/nobody/x", &repeat, "").as_bytes())?;
@@ -140,7 +140,7 @@
     request.extend(&body);
     let mut stream = TcpStream::connect(callers())?;
     stream.set_read_timeout(Some(Duration::from_secs(20)))?;
-    // The answer may come before all is written.
+    // The daemon may answer and close before the whole body is written.
     let _ = stream.write_all(&request);
     let mut answer = [0; 512];
     let count = stream.read(&mut answer).unwrap_or(0);
@@ -165,14 +165,14 @@
     "POST /fleet/x HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: 10\r\n\r\nabc",
     "too-slow"
 )]
-fn slow_and_idle_callers_are_let_go(#[case] bytes: &str, #[case] text: &str) -> Result<()> {
-    // The connection ends by itself, or the read below would time out.
+fn slow_and_idle_callers_are_disconnected(#[case] bytes: &str, #[case] text: &str) -> Result<()> {
+    // If the daemon did not close the connection, the read would fail with a timeout.
     let answer = exchange(callers(), bytes.as_bytes())?;
     assert!(answer.contains(text), "{answer}");
     let answer = exchange(callers(), post("/nobody/x", "", "").as_bytes())?;
     assert!(
         answer.starts_with("HTTP/1.1 4"),
-        "others are served: {answer}"
+        "the next caller is not served: {answer}"
     );
     Ok(())
 }
@@ -184,7 +184,7 @@
 #[case::bad_name("GET", "/intents/Nobody", "", "400", "field 'name'")]
 #[case::wrong_method("DELETE", "/intents", "", "405", "wrong-method")]
 #[case::no_such_path("GET", "/nowhere", "", "404", "nothing at /nowhere")]
-fn operator_gets_what_is_wrong(
+fn answer_to_an_operator_names_the_error(
     #[case] method: &str,
     #[case] path: &str,
     #[case] body: &str,
@@ -201,7 +201,7 @@
     Ok(())
 }
 
-fn changed(mut intent: Value, pointer: &str, value: Value) -> Value {
+fn replace_value(mut intent: Value, pointer: &str, value: Value) -> Value {
     if let Some(field) = intent.pointer_mut(pointer) {
         *field = value;
     }
@@ -209,17 +209,17 @@
 }
 
 #[rstest]
-#[case::name(changed(service("a", &[1]), "/service/name", json!("A b")), "service.name")]
-#[case::replicas(changed(service("a", &[1]), "/service/replicas/dc-a", json!(9_999)), "service.replicas.dc-a")]
-#[case::cores(changed(batch("b", 1, 1, 1), "/batch/size/milli_cores", json!(0)), "batch.size.milli_cores")]
-#[case::tasks(changed(batch("b", 1, 1, 1), "/batch/tasks", json!(0)), "batch.tasks")]
-#[case::run_time(changed(batch("b", 1, 1, 1), "/batch/run_time_ms", json!(0)), "batch.run_time_ms")]
+#[case::name(replace_value(service("a", &[1]), "/service/name", json!("A b")), "service.name")]
+#[case::replicas(replace_value(service("a", &[1]), "/service/replicas/dc-a", json!(9_999)), "service.replicas.dc-a")]
+#[case::cores(replace_value(batch("b", 1, 1, 1), "/batch/size/milli_cores", json!(0)), "batch.size.milli_cores")]
+#[case::tasks(replace_value(batch("b", 1, 1, 1), "/batch/tasks", json!(0)), "batch.tasks")]
+#[case::run_time(replace_value(batch("b", 1, 1, 1), "/batch/run_time_ms", json!(0)), "batch.run_time_ms")]
 fn bad_intent_names_its_field(#[case] intent: Value, #[case] field: &str) -> Result<()> {
     let file = CLUSTER.folder.join(format!("bad-{field}.json"));
     fs::write(&file, serde_json::to_vec(&intent)?)?;
     let file = file.display().to_string();
     for command in ["check", "submit"] {
-        let (code, text) = CLUSTER.tool(0, &[command, &file])?;
+        let (code, text) = CLUSTER.run_tool(0, &[command, &file])?;
         assert_eq!(code, 2, "{text}");
         assert!(text.contains(&format!("field '{field}'")), "{text}");
     }
@@ -240,8 +240,8 @@
         "peers": "127.0.0.1:3", "platform": "127.0.0.1:4", "times": {},
     });
     let settings = match settings {
-        "times" => changed(whole, "/times", json!({"lease_ms": 1})).to_string(),
-        "platform" => changed(whole, "/platform", json!("nowhere")).to_string(),
+        "times" => replace_value(whole, "/times", json!({"lease_ms": 1})).to_string(),
+        "platform" => replace_value(whole, "/platform", json!("nowhere")).to_string(),
         other => other.to_owned(),
     };
     let file: PathBuf = std::env::temp_dir().join(format!("stackpier-{}.json", Uuid::now_v7()));
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn tool_without_a_reachable_server_says_so_and_asks_the_next_one() -> Result<()> {
+fn tool_reports_an_unreachable_server_and_tries_the_next_one() -> Result<()> {
     let nobody = stackpier_testkit::ports::free().to_string();
     let tool = |servers: &[&str]| -> Result<(i32, String)> {
         let mut command = Command::new(binary("stackpier")?);
--- a/crates/stackpier-testkit/tests/leaving.rs
+++ b/crates/stackpier-testkit/tests/leaving.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A leaving upstream gets no new work after a few seconds, and a planned stop
-//! of a daemon cuts off no request, with real processes.
+//! A leaving upstream gets no new work after a few seconds, and a planned stop of a
+//! daemon interrupts no request. Runs real processes.
 
 use std::{
     sync::atomic::{AtomicBool, Ordering},
@@ -20,9 +20,9 @@
     wait,
 };
 
-/// After this long a leaving upstream may get nothing new.
-const LEAVING: Duration = Duration::from_secs(3);
-/// CALLERS is the count of callers at once.
+/// NOTICE_TIME is the time after which a leaving upstream must get no new work.
+const NOTICE_TIME: Duration = Duration::from_secs(3);
+/// CALLERS is the number of callers that send requests at the same time.
 const CALLERS: usize = 8;
 
 fn start(work_ms: u64) -> Result<Cluster> {
@@ -38,23 +38,23 @@
     Ok(cluster)
 }
 
-fn executions(cluster: &Cluster, place: usize) -> Result<usize> {
-    Ok(cluster.log(place)?.executions.len())
+fn executions(cluster: &Cluster, index: usize) -> Result<usize> {
+    Ok(cluster.log(index)?.executions.len())
 }
 
 #[test]
-fn leaving_upstream_gets_nothing_new_though_one_daemon_alone_sees_the_list() -> Result<()> {
+fn leaving_upstream_gets_nothing_new_although_only_one_daemon_sees_the_list() -> Result<()> {
     let mut cluster = start(1)?;
-    for place in [1, 2] {
-        cluster.switch(cluster.daemons[place].platform_switch, Mode::Stall)?;
+    for index in [1, 2] {
+        cluster.set_proxy_mode(cluster.daemons[index].platform_proxy_control, Mode::Stall)?;
     }
     let leaving = cluster.workers[0].name;
-    cluster.list(leaving, Standing::Leaving)?;
-    thread::sleep(LEAVING);
+    cluster.set_standing(leaving, Standing::Leaving)?;
+    thread::sleep(NOTICE_TIME);
     let (requests, starts) = (executions(&cluster, 0)?, cluster.log(0)?.spans.len());
     for number in 0..60 {
         let to = cluster.daemons[number % 3].callers;
-        let answer = Call::get(to, "fleet", "after").send();
+        let answer = Call::repeatable(to, "fleet", "after").send();
         ensure!(answer == Answer::Done("after".to_owned()), "{answer:?}");
     }
     ensure!(
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn planned_stop_under_load_cuts_off_no_request() -> Result<()> {
+fn planned_stop_under_load_interrupts_no_request() -> Result<()> {
     let mut cluster = start(80)?;
     let to = cluster.daemons[0].callers;
     let stop = AtomicBool::new(false);
@@ -77,14 +77,15 @@
         let load = || {
             let mut answers = Vec::new();
             while !stop.load(Ordering::SeqCst) {
-                let answer = Call::once(to, "fleet", "in flight").send();
-                // As behind the balancer, a caller who is told goes elsewhere.
-                let told = matches!(answer, Answer::Failed(Kind::Stopping, _));
-                let closed = answer == Answer::NotConnected;
-                if !closed {
+                let answer = Call::keyed(to, "fleet", "in flight").send();
+                // Behind a load balancer, a caller that gets this answer would go to
+                // another daemon.
+                let is_stopping = matches!(answer, Answer::Failed(Kind::Stopping, _));
+                let is_closed = answer == Answer::NotConnected;
+                if !is_closed {
                     answers.push(answer);
                 }
-                if told || closed {
+                if is_stopping || is_closed {
                     break;
                 }
             }
@@ -95,7 +96,7 @@
         let process = cluster.daemons[0]
             .process
             .as_mut()
-            .context("the daemon runs")?;
+            .context("the daemon is not running")?;
         process.signal(Signal::Terminate)?;
         let mut status = None;
         let ended = wait::until("the daemon ends", || {
@@ -113,13 +114,13 @@
         .iter()
         .filter(|a| matches!(a, Answer::Done(_)))
         .count();
-    ensure!(done > CALLERS, "the load ran: {done}");
+    ensure!(done > CALLERS, "the load did not run: {done} answers");
     for answer in &answers {
         let stopping = Answer::Failed(Kind::Stopping, Ran::No);
         let whole = *answer == Answer::Done("in flight".to_owned());
         ensure!(whole || *answer == stopping, "{answer:?}");
     }
-    let other = Call::get(cluster.daemons[1].callers, "fleet", "others go on").send();
+    let other = Call::repeatable(cluster.daemons[1].callers, "fleet", "others go on").send();
     ensure!(
         other == Answer::Done("others go on".to_owned()),
         "{other:?}"
--- a/crates/stackpier-testkit/tests/once.rs
+++ b/crates/stackpier-testkit/tests/once.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A request that must not be repeated runs at most once, whatever its caller
-//! does after a lost answer, with real processes.
+//! A request with a key runs at most once, whatever its caller does after a lost
+//! answer. Runs real processes.
 
 use std::{
     thread::{self, JoinHandle},
@@ -19,7 +19,7 @@
     wait,
 };
 
-/// CALLS is how many requests a test sends.
+/// CALLS is the number of requests that a test sends.
 const CALLS: usize = 24;
 
 fn times() -> Value {
@@ -41,7 +41,8 @@
     Ok(cluster)
 }
 
-/// check asserts that the key ran at most once, and what was said of it.
+/// check verifies that the request ran at most once, and that its answers agree with
+/// whether it ran.
 fn check(cluster: &Cluster, call: &Call, answers: &[Answer]) -> Result<()> {
     let key = call.key.map(|key| key.to_string()).unwrap_or_default();
     let ran = cluster.executions(&key)?;
@@ -49,13 +50,13 @@
     let done = answers
         .iter()
         .any(|answer| matches!(answer, Answer::Done(_)));
-    ensure!(!done || ran == 1, "{key} was answered and never ran");
+    ensure!(!done || ran == 1, "{key} was answered but never ran");
     let all_not_run = answers
         .iter()
         .all(|a| matches!(a, Answer::Failed(_, Ran::No)));
     ensure!(
         !all_not_run || ran == 0,
-        "{key} was said not to have run and ran"
+        "{key} was reported as not run but ran"
     );
     Ok(())
 }
@@ -64,22 +65,22 @@
 fn repeats_through_other_daemons_and_data_centres_run_once() -> Result<()> {
     let cluster = start(2)?;
     for number in 0..CALLS {
-        let place = |n: usize| cluster.daemons[n % cluster.daemons.len()].callers;
-        let call = Call::once(place(number), "fleet", &format!("call {number}"));
+        let port = |n: usize| cluster.daemons[n % cluster.daemons.len()].callers;
+        let call = Call::keyed(port(number), "fleet", &format!("call {number}"));
         let answers = thread::scope(|scope| {
             let first = scope.spawn(|| call.send());
             let repeats: Vec<_> = (1..4)
-                .map(|n| call.again(place(number + n)))
-                .map(|again| scope.spawn(move || again.send()))
+                .map(|n| call.repeat(port(number + n)))
+                .map(|repeat| scope.spawn(move || repeat.send()))
                 .collect();
             let mut answers = vec![first.join()];
             answers.extend(repeats.into_iter().map(|repeat| repeat.join()));
             answers.into_iter().flatten().collect::<Vec<_>>()
         });
         check(&cluster, &call, &answers)?;
-        // Nothing is under way any more: a repeat gets the kept answer, if the
-        // data centre that ran it is the one asked or is reached from it.
-        let last = call.again(place(number)).send();
+        // No attempt is in progress any more: a repeat gets the kept answer if its data
+        // centre ran the request or reaches the one that did.
+        let last = call.repeat(port(number)).send();
         check(&cluster, &call, &[last])?;
     }
     Ok(())
@@ -92,28 +93,28 @@
         let victim = number % 3;
         let first = cluster.daemons[(number + 1) % 3].callers;
         let second = cluster.daemons[(number + 2) % 3].callers;
-        let mut call = Call::once(first, "fleet", &format!("call {number}"));
+        let mut call = Call::keyed(first, "fleet", &format!("call {number}"));
         call.deadline_ms = 2_000;
         let mut answers = vec![call.send()];
         match number % 4 {
             0 => {
                 cluster.kill_daemon(victim)?;
-                answers.push(call.again(second).send());
+                answers.push(call.repeat(second).send());
                 cluster.start_daemon(victim)?;
                 cluster.await_ready(victim)?;
             }
             1 => {
                 if let Some(process) = &mut cluster.daemons[victim].process {
                     process.signal(Signal::Stop)?;
-                    answers.push(call.again(second).send());
+                    answers.push(call.repeat(second).send());
                     thread::sleep(Duration::from_millis(1_000));
                     process.signal(Signal::Continue)?;
                 }
             }
             _ => {}
         }
-        answers.push(call.again(second).send());
-        answers.push(call.again(first).send());
+        answers.push(call.repeat(second).send());
+        answers.push(call.repeat(first).send());
         check(&cluster, &call, &answers)?;
     }
     Ok(())
@@ -123,25 +124,25 @@
 fn data_centre_cut_off_answers_unknown_and_runs_nothing_twice() -> Result<()> {
     let cluster = start(2)?;
     let (here, there) = (cluster.daemons[0].callers, cluster.daemons[3].callers);
-    let call = Call::once(here, "fleet", "before the cut");
+    let call = Call::keyed(here, "fleet", "before the cut");
     let mut answers = vec![call.send()];
-    cluster.link(0, 1, Mode::Cut)?;
-    let repeat = call.again(there).send();
+    cluster.set_link_mode(0, 1, Mode::Cut)?;
+    let repeat = call.repeat(there).send();
     ensure!(
         matches!(repeat, Answer::Failed(_, Ran::Unknown)),
         "{repeat:?}"
     );
     answers.push(repeat);
-    // First attempts need no other data centre.
+    // A first attempt needs no answer from another data centre.
     wait::until("each data centre goes on", || {
         [here, there].iter().all(|to| {
-            let once = Call::once(*to, "fleet", "during the cut");
+            let once = Call::keyed(*to, "fleet", "during the cut");
             once.send() == Answer::Done("during the cut".to_owned())
         })
     })?;
-    cluster.link(0, 1, Mode::Pass)?;
+    cluster.set_link_mode(0, 1, Mode::Pass)?;
     wait::until("the repeat gets the kept answer", || {
-        let answer = call.again(there).send();
+        let answer = call.repeat(there).send();
         answers.push(answer.clone());
         answer == Answer::Done("before the cut".to_owned())
     })?;
@@ -154,16 +155,16 @@
         .collect()
 }
 
-fn joined(sent: JoinHandle<Answer>) -> Answer {
-    sent.join().unwrap_or(Answer::Nothing)
+fn join_answer(sent: JoinHandle<Answer>) -> Answer {
+    sent.join().unwrap_or(Answer::NoAnswer)
 }
 
 #[test]
 fn daemon_frozen_between_grant_and_send_runs_nothing_twice() -> Result<()> {
     let mut cluster = start(1)?;
-    for place in 0..cluster.workers.len() {
-        cluster.knobs(
-            place,
+    for index in 0..cluster.workers.len() {
+        cluster.set_knobs(
+            index,
             Knobs {
                 extra_ms: 200,
                 ..Knobs::default()
@@ -173,7 +174,7 @@
     let vm = cluster.daemons[0].vm;
     let mut calls = Vec::new();
     for number in 0..CALLS {
-        let mut call = Call::once(
+        let mut call = Call::keyed(
             cluster.daemons[0].callers,
             "fleet",
             &format!("call {number}"),
@@ -186,16 +187,16 @@
     if let Some(process) = &mut cluster.daemons[0].process {
         process.signal(Signal::Stop)?;
     }
-    cluster.list(vm, Standing::Leaving)?;
+    cluster.set_standing(vm, Standing::Leaving)?;
     thread::sleep(Duration::from_millis(1_500));
     let other = cluster.daemons[1].callers;
-    let repeats = send_all(calls.iter().map(|call| call.again(other)));
-    let repeats: Vec<Answer> = repeats.into_iter().map(joined).collect();
+    let repeats = send_all(calls.iter().map(|call| call.repeat(other)));
+    let repeats: Vec<Answer> = repeats.into_iter().map(join_answer).collect();
     if let Some(process) = &mut cluster.daemons[0].process {
         process.signal(Signal::Continue)?;
     }
     for ((call, caller), repeat) in calls.iter().zip(callers).zip(repeats) {
-        check(&cluster, call, &[joined(caller), repeat])?;
+        check(&cluster, call, &[join_answer(caller), repeat])?;
     }
     Ok(())
 }
--- a/crates/stackpier-testkit/tests/placement.rs
+++ b/crates/stackpier-testkit/tests/placement.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! No worker over-committed, no task in two places, evicted work resumed once,
-//! with real processes that are killed, frozen and cut off.
+//! No worker is over-committed, no task runs on two workers at once, and evicted work
+//! resumes once, while real processes are killed, suspended and cut off.
 
 use std::{thread, time::Duration};
 
@@ -18,8 +18,8 @@
     wait,
 };
 
-/// Past every lease and time-out below.
-const LONG: Duration = Duration::from_millis(4_500);
+/// PAST_TIMEOUTS is longer than every lease and timeout of `times`.
+const PAST_TIMEOUTS: Duration = Duration::from_millis(4_500);
 
 fn times() -> Value {
     json!({
@@ -37,18 +37,18 @@
     }
 }
 
-fn finished(cluster: &Cluster, place: usize, job: &str, count: usize) -> Result<()> {
+fn await_finished(cluster: &Cluster, index: usize, job: &str, count: usize) -> Result<()> {
     wait::until(&format!("{count} tasks of {job} are done"), || {
-        let shown = cluster.tool(place, &["status", job]);
+        let shown = cluster.run_tool(index, &["status", job]);
         shown.is_ok_and(|(_, text)| text.matches("finished").count() == count)
     })
 }
 
-/// busy returns a worker that runs a task.
-fn busy(cluster: &Cluster) -> Result<Name> {
+/// find_busy_worker returns a worker that runs a task.
+fn find_busy_worker(cluster: &Cluster) -> Result<Name> {
     let spans = oracle::spans(cluster)?;
     let found = spans.iter().find(|(_, span)| span.ended.is_none());
-    Ok(found.context("some worker runs a task")?.0)
+    Ok(found.context("no worker runs a task")?.0)
 }
 
 #[test]
@@ -58,14 +58,14 @@
         // Each task takes over a third of a worker.
         cluster.submit(number, &batch(&format!("job-{number}"), 12, 12_000, 300))?;
     }
-    cluster.faults(Faults {
+    cluster.set_faults(Faults {
         lose_replies: 12,
         ..Faults::default()
     })?;
     cluster.kill_daemon(0)?;
     cluster.start_daemon(0)?;
     for number in 0..3 {
-        finished(&cluster, 1, &format!("job-{number}"), 12)?;
+        await_finished(&cluster, 1, &format!("job-{number}"), 12)?;
     }
     let spans = oracle::spans(&cluster)?;
     oracle::check(&spans)?;
@@ -78,40 +78,40 @@
         });
         ensure!(
             together.count() <= 2,
-            "more than two tasks of 12 cores on 32 cores"
+            "a worker with 32 cores runs more than two tasks of 12 cores"
         );
     }
     Ok(())
 }
 
 #[test]
-fn frozen_renewer_thaws_and_no_task_runs_twice() -> Result<()> {
+fn suspended_renewer_resumes_and_no_task_runs_twice() -> Result<()> {
     let mut cluster = Cluster::start(plan())?;
     cluster.submit(0, &service("fleet", &[4]))?;
     cluster.submit(0, &batch("ledger", 8, 4_000, 6_000))?;
     cluster.await_running(0, "fleet", 4)?;
-    for place in 0..3 {
-        if let Some(process) = &mut cluster.daemons[place].process {
+    for index in 0..3 {
+        if let Some(process) = &mut cluster.daemons[index].process {
             process.signal(Signal::Stop)?;
         }
-        thread::sleep(LONG);
+        thread::sleep(PAST_TIMEOUTS);
         oracle::check(&oracle::spans(&cluster)?)?;
-        if let Some(process) = &mut cluster.daemons[place].process {
+        if let Some(process) = &mut cluster.daemons[index].process {
             process.signal(Signal::Continue)?;
         }
     }
-    finished(&cluster, 0, "ledger", 8)?;
+    await_finished(&cluster, 0, "ledger", 8)?;
     cluster.await_running(1, "fleet", 4)?;
     oracle::check(&oracle::spans(&cluster)?)
 }
 
 #[test]
-fn task_of_a_worker_cut_off_moves_once_its_lease_has_lapsed() -> Result<()> {
+fn task_of_a_worker_that_is_cut_off_moves_once_its_lease_has_expired() -> Result<()> {
     let cluster = Cluster::start(plan())?;
     cluster.submit(0, &service("fleet", &[4]))?;
     cluster.await_running(0, "fleet", 4)?;
-    let switch = cluster.worker(busy(&cluster)?)?.switch;
-    cluster.switch(switch, Mode::Stall)?;
+    let proxy_control = cluster.worker(find_busy_worker(&cluster)?)?.proxy_control;
+    cluster.set_proxy_mode(proxy_control, Mode::Stall)?;
     wait::until("the task runs elsewhere", || {
         let spans = oracle::spans(&cluster);
         spans.is_ok_and(|spans| {
@@ -121,11 +121,11 @@
             spans.iter().any(|entry| lost(&entry)) && oracle::running(&spans).len() == 4
         })
     })?;
-    cluster.switch(switch, Mode::Pass)?;
-    thread::sleep(LONG);
+    cluster.set_proxy_mode(proxy_control, Mode::Pass)?;
+    thread::sleep(PAST_TIMEOUTS);
     let spans = oracle::spans(&cluster)?;
     oracle::check(&spans)?;
-    ensure!(oracle::running(&spans).len() == 4, "four replicas run");
+    ensure!(oracle::running(&spans).len() == 4, "not four replicas run");
     Ok(())
 }
 
@@ -134,16 +134,16 @@
     let cluster = Cluster::start(plan())?;
     cluster.submit(0, &service("fleet", &[4]))?;
     cluster.await_running(0, "fleet", 4)?;
-    cluster.faults(Faults {
+    cluster.set_faults(Faults {
         outage: true,
         ..Faults::default()
     })?;
-    thread::sleep(2 * LONG);
+    thread::sleep(2 * PAST_TIMEOUTS);
     let spans = oracle::spans(&cluster)?;
-    ensure!(spans.len() == 4, "no task was started anew: {spans:?}");
-    ensure!(oracle::running(&spans).len() == 4, "all tasks run on");
+    ensure!(spans.len() == 4, "a task was started again: {spans:?}");
+    ensure!(oracle::running(&spans).len() == 4, "a task stopped running");
     for daemon in &cluster.daemons {
-        let answer = Call::get(daemon.callers, "fleet", "during the outage").send();
+        let answer = Call::repeatable(daemon.callers, "fleet", "during the outage").send();
         ensure!(
             answer == Answer::Done("during the outage".to_owned()),
             "{answer:?}"
@@ -159,15 +159,15 @@
     wait::until("all tasks run", || {
         oracle::spans(&cluster).is_ok_and(|spans| oracle::running(&spans).len() == 8)
     })?;
-    let leaving = busy(&cluster)?;
-    cluster.list(leaving, Standing::Leaving)?;
-    for place in [0, 1, 2, 0, 1, 2] {
-        // Spread the kills over the steps of checkpoint, commit and start.
+    let leaving = find_busy_worker(&cluster)?;
+    cluster.set_standing(leaving, Standing::Leaving)?;
+    for index in [0, 1, 2, 0, 1, 2] {
+        // The pause spreads the kills over the steps checkpoint, commit and start.
         thread::sleep(Duration::from_millis(130));
-        cluster.kill_daemon(place)?;
-        cluster.start_daemon(place)?;
+        cluster.kill_daemon(index)?;
+        cluster.start_daemon(index)?;
     }
-    finished(&cluster, 1, "ledger", 8)?;
+    await_finished(&cluster, 1, "ledger", 8)?;
     let spans = oracle::spans(&cluster)?;
     oracle::check(&spans)?;
     let saved = |entry: &&(_, stackpier_standin::worker::Span)| {
@@ -175,14 +175,14 @@
     };
     ensure!(
         spans.iter().filter(saved).count() > 0,
-        "some task was evicted"
+        "no task was evicted"
     );
     let done = |entry: &&(_, stackpier_standin::worker::Span)| {
         matches!(entry.1.ended, Some((_, Outcome::Finished)))
     };
     ensure!(
         spans.iter().filter(done).count() == 8,
-        "each task finished once"
+        "not every task finished once"
     );
     Ok(())
 }
@@ -210,13 +210,13 @@
     })?;
     cluster.submit(0, &service("fleet", &[1]))?;
     cluster.await_running(0, "fleet", 1)?;
-    let slowed = busy(&cluster)?;
+    let slowed = find_busy_worker(&cluster)?;
     cluster.submit(0, &batch("ledger", 1, 2_000, 8_000))?;
     wait::until("the batch task runs beside the service", || {
         let spans = oracle::spans(&cluster);
         spans.is_ok_and(|spans| spans.iter().filter(|(worker, _)| *worker == slowed).count() == 2)
     })?;
-    let place = cluster
+    let index = cluster
         .workers
         .iter()
         .position(|worker| worker.name == slowed);
@@ -224,13 +224,13 @@
         slowdown_milli: 2_500,
         ..Knobs::default()
     };
-    cluster.knobs(place.context("the worker is there")?, knobs)?;
-    finished(&cluster, 0, "ledger", 1)?;
+    cluster.set_knobs(index.context("the worker is not in the list")?, knobs)?;
+    await_finished(&cluster, 0, "ledger", 1)?;
     let spans = oracle::spans(&cluster)?;
     oracle::check(&spans)?;
     let resumed = spans.iter().find(|(_, span)| span.from.is_some());
-    let (worker, _) = resumed.context("the task was evicted and resumed")?;
-    ensure!(*worker != slowed, "it went back to the slowed worker");
+    let (worker, _) = resumed.context("no task was evicted and resumed")?;
+    ensure!(*worker != slowed, "the task went back to the slowed worker");
     Ok(())
 }
 
@@ -241,11 +241,11 @@
         fail_all: true,
         ..Knobs::default()
     };
-    cluster.knobs(0, knobs)?;
+    cluster.set_knobs(0, knobs)?;
     for number in 0..4 {
-        // Two tasks fill a worker, so that a job needs all four.
+        // Two tasks use a whole worker, so that a job of eight needs all four workers.
         cluster.submit(number % 3, &batch(&format!("job-{number}"), 8, 16_000, 200))?;
-        finished(&cluster, 0, &format!("job-{number}"), 8)?;
+        await_finished(&cluster, 0, &format!("job-{number}"), 8)?;
     }
     let spans = oracle::spans(&cluster)?;
     oracle::check(&spans)?;
--- a/crates/stackpier-testkit/tests/requests.rs
+++ b/crates/stackpier-testkit/tests/requests.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Whole answers, true words on what ran, and answers at once, with real
-//! processes behind the fault proxy.
+//! Callers get complete answers, correct reports of what ran, and answers by the
+//! deadline. Runs real processes behind the fault proxy.
 
 use std::{
     thread,
@@ -17,15 +17,15 @@
     wait,
 };
 
-/// CALLERS is the count of callers at once.
+/// CALLERS is the number of callers that send requests at the same time.
 const CALLERS: usize = 12;
-/// EACH is how many requests each sends.
-const EACH: usize = 40;
-/// OFFSETS are the byte offsets of an exchange at which it is cut: all in the
-/// head of a request or an answer, and some in its body.
+/// REQUESTS_PER_CALLER is the number of requests that each of them sends.
+const REQUESTS_PER_CALLER: usize = 40;
+/// OFFSETS is the range of byte offsets at which an exchange is cut. It covers the head
+/// of a request or an answer and the start of its body.
 const OFFSETS: std::ops::Range<usize> = 0..420;
-/// STRIDE is the distance of offsets that are tried.
-const STRIDE: usize = 7;
+/// OFFSET_STEP is the distance between two offsets that are tried.
+const OFFSET_STEP: usize = 7;
 
 fn start() -> Result<Cluster> {
     let cluster = Cluster::start(Plan {
@@ -39,7 +39,7 @@
 }
 
 fn body(caller: usize, number: usize) -> String {
-    // Sizes differ, so that a swapped answer is seen by its length as well.
+    // The lengths differ, so that an answer to another request also differs in length.
     format!(
         "{caller}-{number}-{}",
         "x".repeat((caller * 37 + number * 101) % 5_000)
@@ -49,15 +49,15 @@
 #[test]
 fn every_caller_gets_the_whole_answer_to_its_own_request() -> Result<()> {
     let cluster = start()?;
-    cluster.switch(cluster.workers[0].switch, Mode::Delay(1))?;
+    cluster.set_proxy_mode(cluster.workers[0].proxy_control, Mode::Delay(1))?;
     let send = |caller: usize| {
         let daemon = &cluster.daemons[caller % 3];
-        (0..EACH).all(|number| {
+        (0..REQUESTS_PER_CALLER).all(|number| {
             let body = body(caller, number);
-            match Call::get(daemon.callers, "fleet", &body).send() {
+            match Call::repeatable(daemon.callers, "fleet", &body).send() {
                 Answer::Done(answer) => answer == body,
                 Answer::Failed(kind, _) => kind == Kind::Overloaded,
-                Answer::Nothing | Answer::NotConnected => false,
+                Answer::NoAnswer | Answer::NotConnected => false,
             }
         })
     };
@@ -67,36 +67,39 @@
             .into_iter()
             .all(|caller| caller.join().unwrap_or(false))
     });
-    ensure!(whole, "an answer was not whole or not the caller's own");
+    ensure!(whole, "an answer was incomplete or to another caller");
     Ok(())
 }
 
-/// A cut at any byte: what is said to have run ran once, what is said not to
-/// have run did not, and no part of an answer passes for a whole one.
+/// cut_at_offsets cuts exchanges at many offsets, and verifies that a request that is
+/// answered ran once, that one reported as not run did not run, and that no part of an
+/// answer is taken for a whole one.
 fn cut_at_offsets(mode: fn(usize) -> Mode) -> Result<()> {
     let cluster = start()?;
-    let switch = cluster.workers[0].switch;
+    let proxy_control = cluster.workers[0].proxy_control;
     let mut unknown = 0;
-    for offset in OFFSETS.step_by(STRIDE) {
-        // The renewer's calls go the same way, so the cut is brief and its
-        // requests are tried until one reached the worker or was refused.
-        let call = Call::once(cluster.daemons[offset % 3].callers, "fleet", &body(1, 3));
-        cluster.switch(switch, mode(offset))?;
+    for offset in OFFSETS.step_by(OFFSET_STEP) {
+        // The calls of the renewer pass the same proxy, so the cut lasts for this one
+        // request only, and the service may need a while to answer again.
+        let call = Call::keyed(cluster.daemons[offset % 3].callers, "fleet", &body(1, 3));
+        cluster.set_proxy_mode(proxy_control, mode(offset))?;
         let answer = call.send();
-        cluster.switch(switch, Mode::Pass)?;
+        cluster.set_proxy_mode(proxy_control, Mode::Pass)?;
         let key = call.key.map(|key| key.to_string()).unwrap_or_default();
         let ran = cluster.executions(&key)?;
         match answer {
             Answer::Done(answer) => ensure!(answer == call.body && ran == 1, "{offset}: {ran}"),
-            Answer::Failed(_, Ran::No) => ensure!(ran == 0, "{offset}: said not run, ran {ran}"),
+            Answer::Failed(_, Ran::No) => {
+                ensure!(ran == 0, "{offset}: reported as not run, ran {ran} times")
+            }
             Answer::Failed(_, Ran::Unknown) => {
                 unknown += 1;
                 ensure!(ran <= 1, "{offset}: ran {ran} times");
             }
-            Answer::Nothing | Answer::NotConnected => ensure!(false, "{offset}: no answer"),
+            Answer::NoAnswer | Answer::NotConnected => ensure!(false, "{offset}: no answer"),
         }
         wait::until("the service answers again", || {
-            let ready = Call::get(call.to, "fleet", "ready");
+            let ready = Call::repeatable(call.to, "fleet", "ready");
             ready.send() == Answer::Done("ready".to_owned())
         })?;
     }
@@ -105,26 +108,26 @@
 }
 
 #[test]
-fn answer_cut_at_many_offsets_is_never_taken_for_whole() -> Result<()> {
+fn answer_that_is_cut_is_never_taken_for_a_whole_one() -> Result<()> {
     cut_at_offsets(Mode::TruncateAnswer)
 }
 
 #[test]
-fn request_cut_at_many_offsets_is_never_said_not_to_have_run() -> Result<()> {
+fn request_that_is_cut_is_never_reported_as_not_run_if_it_ran() -> Result<()> {
     cut_at_offsets(Mode::TruncateRequest)
 }
 
 #[test]
-fn killed_upstream_is_not_run_and_a_frozen_one_unknown_at_the_deadline() -> Result<()> {
+fn slow_upstream_is_unknown_at_the_deadline_and_a_killed_one_fails() -> Result<()> {
     let mut cluster = start()?;
-    cluster.knobs(
+    cluster.set_knobs(
         0,
         Knobs {
             extra_ms: 3_000,
             ..Knobs::default()
         },
     )?;
-    let mut call = Call::once(cluster.daemons[0].callers, "fleet", "slow");
+    let mut call = Call::keyed(cluster.daemons[0].callers, "fleet", "slow");
     call.deadline_ms = 300;
     let sent = Instant::now();
     let answer = call.send();
@@ -134,22 +137,22 @@
     );
     ensure!(
         sent.elapsed() < Duration::from_millis(2_500),
-        "held back: {:?}",
+        "the answer came long after the deadline: {:?}",
         sent.elapsed()
     );
-    // The answer that came after the deadline is kept for the repeat.
-    let again = call.again(cluster.daemons[1].callers);
-    let late = Call {
+    // The answer that comes after the deadline is kept for a repeat.
+    let repeat = call.repeat(cluster.daemons[1].callers);
+    let patient_repeat = Call {
         deadline_ms: 10_000,
-        ..again
+        ..repeat
     };
     ensure!(
-        late.send() == Answer::Done("slow".to_owned()),
+        patient_repeat.send() == Answer::Done("slow".to_owned()),
         "the late answer was lost"
     );
     cluster.kill_worker(0)?;
-    cluster.switch(cluster.workers[0].switch, Mode::Cut)?;
-    let answer = Call::once(cluster.daemons[0].callers, "fleet", "gone").send();
+    cluster.set_proxy_mode(cluster.workers[0].proxy_control, Mode::Cut)?;
+    let answer = Call::keyed(cluster.daemons[0].callers, "fleet", "gone").send();
     ensure!(matches!(answer, Answer::Failed(..)), "{answer:?}");
     Ok(())
 }
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -26,11 +26,17 @@
         call(&cluster, place)?;
     }
     wait::until("the batch job is done", || {
-        let shown = cluster.tool(0, &["status", "ledger"]);
+        let shown = cluster.run_tool(0, &["status", "ledger"]);
         shown.is_ok_and(|(_, text)| text.matches("finished").count() == 3)
     })?;
-    println!("{}", cluster.tool(0, &["status", "fleet"])?.1.trim_end());
-    println!("{}", cluster.tool(0, &["status", "ledger"])?.1.trim_end());
+    println!(
+        "{}",
+        cluster.run_tool(0, &["status", "fleet"])?.1.trim_end()
+    );
+    println!(
+        "{}",
+        cluster.run_tool(0, &["status", "ledger"])?.1.trim_end()
+    );
     cluster.kill_daemon(0)?;
     println!("killed: {}", cluster.daemons[0].vm);
     for place in 1..cluster.daemons.len() {
@@ -44,11 +50,11 @@
     let daemon = &cluster.daemons[place];
     let body = format!("hello from {}", daemon.vm);
     wait::until("the daemon answers a call", || {
-        Call::get(daemon.callers, "fleet", &body).send() == Answer::Done(body.clone())
+        Call::repeatable(daemon.callers, "fleet", &body).send() == Answer::Done(body.clone())
     })?;
-    let mut answer = Answer::Nothing;
+    let mut answer = Answer::NoAnswer;
     wait::until("a request that must not be repeated is run", || {
-        let once = Call::once(daemon.callers, "fleet", &body);
+        let once = Call::keyed(daemon.callers, "fleet", &body);
         answer = once.send();
         answer == Answer::Done(body.clone())
     })?;
