--- a/crates/stackpier-standin/src/fleet.rs
+++ b/crates/stackpier-standin/src/fleet.rs
@@ -130,7 +130,7 @@
     started_ms: u64,
     /// Whether its tasks make no progress.
     pub hangs: bool,
-    /// Whether every run fails once it has worked.
+    /// Whether every run fails as soon as it has made progress.
     pub fails_all: bool,
     /// The speed of its tasks, in percent of the normal speed.
     pub speed_percent: u64,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// clock returns what its own clock shows at a time.
+    /// clock returns what its own clock shows at this time.
     pub fn clock(&self, now_ms: u64) -> u64 {
         self.clock_start_ms + now_ms - self.started_ms
     }
--- a/crates/stackpier-testkit/src/cluster.rs
+++ b/crates/stackpier-testkit/src/cluster.rs
@@ -142,7 +142,7 @@
     char::from(b'a' + centre as u8)
 }
 
-/// name returns a text that is known to be a valid name as one.
+/// name converts a text into a name. It panics if the text is not a valid one.
 pub fn name(text: &str) -> Name {
     Name::try_from(text).unwrap_or_else(|error| panic!("'{text}': {error}"))
 }
--- a/crates/stackpier-testkit/src/oracle.rs
+++ b/crates/stackpier-testkit/src/oracle.rs
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// check_pair verifies this for two successive runs of a task.
+/// check_pair verifies the rules of `check` for two successive runs of a task.
 fn check_pair(one: &(Name, Span), next: &(Name, Span)) -> Result<()> {
     let (first, second) = (&one.1, &next.1);
     ensure!(
