--- a/crates/stackpier-coordination/src/breaker.rs
+++ b/crates/stackpier-coordination/src/breaker.rs
@@ -11,7 +11,7 @@
     /// The first pause, in milliseconds.
     pub pause_ms: u64,
     /// The longest pause, in milliseconds.
-    pub longest_ms: u64,
+    pub max_pause_ms: u64,
 }
 
 impl Default for Options {
@@ -19,7 +19,7 @@
         Options {
             failures: 4,
             pause_ms: 500,
-            longest_ms: 30_000,
+            max_pause_ms: 30_000,
         }
     }
 }
@@ -70,28 +70,28 @@
         }
     }
 
-    /// sent notes that a request is sent.
-    pub fn sent(&mut self) {
+    /// record_sent notes that a request is sent.
+    pub fn record_sent(&mut self) {
         if matches!(self.state, State::Open(_)) {
             self.state = State::Probing;
         }
     }
 
-    /// succeeded closes the breaker.
-    pub fn succeeded(&mut self) {
+    /// record_success closes the breaker.
+    pub fn record_success(&mut self) {
         self.state = State::Closed;
         self.failures = 0;
         self.pause_ms = self.options.pause_ms;
     }
 
-    /// failed counts a failure; `may_eject` is false while too large a share
+    /// record_failure counts a failure; `may_eject` is false while too large a share
     /// of the upstreams is ejected.
-    pub fn failed(&mut self, now: Millis, may_eject: bool) {
+    pub fn record_failure(&mut self, now: Millis, may_eject: bool) {
         self.failures += 1;
         let probe = self.state == State::Probing;
         if probe || (self.failures >= self.options.failures && may_eject) {
             self.state = State::Open(now.plus(self.pause_ms));
-            self.pause_ms = (self.pause_ms * 2).min(self.options.longest_ms);
+            self.pause_ms = (self.pause_ms * 2).min(self.options.max_pause_ms);
         }
     }
 }
--- a/crates/stackpier-coordination/src/history.rs
+++ b/crates/stackpier-coordination/src/history.rs
@@ -7,8 +7,8 @@
 use stackpier_core::Name;
 use stackpier_protocol::sync::Clock;
 
-/// KEPT is how many changes are remembered.
-const KEPT: usize = 64;
+/// MAX_STATES is how many changes are remembered.
+const MAX_STATES: usize = 64;
 
 /// History holds the batch tasks of one worker, by job, at each change.
 #[derive(Clone, Debug, Default)]
@@ -30,7 +30,7 @@
             return;
         }
         self.states.push_back(State { since: now, batch });
-        if self.states.len() > KEPT {
+        if self.states.len() > MAX_STATES {
             self.states.pop_front();
         }
     }
--- a/crates/stackpier-coordination/src/interference.rs
+++ b/crates/stackpier-coordination/src/interference.rs
@@ -11,10 +11,10 @@
 use stackpier_core::Name;
 use stackpier_protocol::peer::PairReport;
 
-/// LEAST_REPORTED is the least excess of a pair that placers are told.
-pub const LEAST_REPORTED: f64 = 0.1;
-/// LEAST_LOAD is the load that an idle service counts with.
-const LEAST_LOAD: f64 = 0.1;
+/// MIN_REPORTED_EXCESS is the least excess of a pair that placers are told.
+pub const MIN_REPORTED_EXCESS: f64 = 0.1;
+/// MIN_LOAD is the load that an idle service counts with.
+const MIN_LOAD: f64 = 0.1;
 /// MILLI turns shares into thousandths.
 const MILLI: f64 = 1_000.0;
 
@@ -100,7 +100,7 @@
 
     /// observe learns from one sample.
     pub fn observe(&mut self, sample: &Sample<'_>) {
-        let load = sample.load.max(LEAST_LOAD);
+        let load = sample.load.max(MIN_LOAD);
         let pair = |neighbour: &Name| Pair {
             victim: sample.victim,
             neighbour: *neighbour,
@@ -113,33 +113,33 @@
             predicted += estimate.mean * weight(count);
             spread += estimate.variance * weight(count).powi(2);
         }
-        let surprise = sample.slowdown - 1.0 - predicted;
+        let innovation = sample.slowdown - 1.0 - predicted;
         for (neighbour, count) in sample.neighbours {
             let old = self.estimate(pair(neighbour));
             let gain = old.variance * weight(count) / spread;
             let new = Estimate {
-                mean: (old.mean + gain * surprise).max(0.0),
+                mean: (old.mean + gain * innovation).max(0.0),
                 variance: old.variance * (1.0 - gain * weight(count)) + self.options.drift,
             };
             self.pairs.insert(pair(neighbour), new);
         }
     }
 
-    /// report returns the pairs whose excess at full load is above `least`.
-    pub fn report(&self, least: f64) -> Vec<PairReport> {
-        let worth = |(_, estimate): &(&Pair, &Estimate)| estimate.mean >= least;
+    /// report returns the pairs whose excess at full load is above `min_excess`.
+    pub fn report(&self, min_excess: f64) -> Vec<PairReport> {
+        let reported = |(_, estimate): &(&Pair, &Estimate)| estimate.mean >= min_excess;
         let row = |(pair, estimate): (&Pair, &Estimate)| PairReport {
             victim: pair.victim,
             neighbour: pair.neighbour,
             excess_milli: (estimate.mean * MILLI) as u32,
             deviation_milli: (estimate.variance.sqrt() * MILLI) as u32,
         };
-        self.pairs.iter().filter(worth).map(row).collect()
+        self.pairs.iter().filter(reported).map(row).collect()
     }
 
-    /// take joins another daemon's estimate with the own one, each weighted by
+    /// merge joins another daemon's estimate with the own one, each weighted by
     /// its certainty.
-    pub fn take(&mut self, report: &PairReport) {
+    pub fn merge(&mut self, report: &PairReport) {
         let pair = Pair {
             victim: report.victim,
             neighbour: report.neighbour,
--- a/crates/stackpier-coordination/src/limit.rs
+++ b/crates/stackpier-coordination/src/limit.rs
@@ -9,9 +9,9 @@
     /// Where the limit starts.
     pub start: f64,
     /// The lowest limit.
-    pub least: f64,
+    pub min_value: f64,
     /// The highest limit.
-    pub most: f64,
+    pub max_value: f64,
     /// Factor on a refusal.
     pub shrink: f64,
     /// What a full round of answers within the limit adds.
@@ -22,8 +22,8 @@
     fn default() -> Self {
         Options {
             start: 4.0,
-            least: 1.0,
-            most: 8.0,
+            min_value: 1.0,
+            max_value: 8.0,
             shrink: 0.7,
             grow: 0.5,
         }
@@ -56,17 +56,17 @@
         self.value
     }
 
-    /// answered takes a good answer that came while `in_flight` were out; the
+    /// record_answer takes a good answer that came while `in_flight` were out; the
     /// limit only grows where it is used.
-    pub fn answered(&mut self, in_flight: u32) {
+    pub fn record_answer(&mut self, in_flight: u32) {
         if f64::from(in_flight) + 1.0 >= self.value {
             let step = self.options.grow / self.value;
-            self.value = (self.value + step).min(self.options.most);
+            self.value = (self.value + step).min(self.options.max_value);
         }
     }
 
-    /// refused takes a refusal for want of slots.
-    pub fn refused(&mut self) {
-        self.value = (self.value * self.options.shrink).max(self.options.least);
+    /// record_refusal takes a refusal for want of slots.
+    pub fn record_refusal(&mut self) {
+        self.value = (self.value * self.options.shrink).max(self.options.min_value);
     }
 }
--- a/crates/stackpier-coordination/src/membership.rs
+++ b/crates/stackpier-coordination/src/membership.rs
@@ -34,7 +34,7 @@
     boot: Boot,
     data_centre: Name,
     leaving: bool,
-    heard: Millis,
+    last_contact: Millis,
 }
 
 /// Table is one daemon's view of the others.
@@ -89,7 +89,7 @@
 
     /// list takes the platform's list. A VM once listed gone stays gone, and
     /// one once leaving does not come back as live, as the list may lag.
-    pub fn list(&mut self, roster: Roster) {
+    pub fn update_roster(&mut self, roster: Roster) {
         for vm in roster.vms {
             let standing = self.roster.get(&vm.name).map(|old| old.standing);
             let kept = worse(standing.unwrap_or(Standing::Live), vm.standing);
@@ -104,20 +104,20 @@
     }
 
     /// heard takes a heartbeat of another daemon.
-    pub fn heard(&mut self, now: Millis, beat: &Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: Millis, beat: &Heartbeat) {
         self.departing.extend(beat.departing.iter().copied());
-        self.sighted(now, beat.from, beat.data_centre, beat.leaving);
+        self.record_contact(now, beat.from, beat.data_centre, beat.leaving);
     }
 
     /// answered takes the reply to an own heartbeat.
-    pub fn answered(&mut self, now: Millis, reply: &HeartbeatReply) {
+    pub fn record_reply(&mut self, now: Millis, reply: &HeartbeatReply) {
         let listed = self.roster.get(&reply.from.vm).map(|vm| vm.data_centre);
         if let Some(data_centre) = listed {
-            self.sighted(now, reply.from, data_centre, reply.leaving);
+            self.record_contact(now, reply.from, data_centre, reply.leaving);
         }
     }
 
-    fn sighted(&mut self, now: Millis, from: Member, data_centre: Name, leaving: bool) {
+    fn record_contact(&mut self, now: Millis, from: Member, data_centre: Name, leaving: bool) {
         let before = self.daemons.get(&from.vm).copied();
         let known = before.map_or(from.boot, |daemon| daemon.boot);
         // Boots are ordered by their start, so a late word of an earlier run
@@ -138,7 +138,7 @@
                 boot: from.boot,
                 data_centre,
                 leaving: leaving || stays,
-                heard: now,
+                last_contact: now,
             },
         );
     }
@@ -158,7 +158,7 @@
             .daemons
             .iter()
             .filter(|(_, daemon)| daemon.data_centre == data_centre && !daemon.leaving)
-            .filter(|(_, daemon)| now.since(daemon.heard) < self.options.silence_ms)
+            .filter(|(_, daemon)| now.since(daemon.last_contact) < self.options.silence_ms)
             .map(|(vm, daemon)| Member {
                 vm: *vm,
                 boot: daemon.boot,
@@ -194,11 +194,11 @@
     /// standing returns what is known of a worker from the list and peers.
     pub fn standing(&self, worker: Name) -> Option<Standing> {
         let listed = self.roster.get(&worker)?.standing;
-        let told = match self.departing.contains(&worker) {
+        let by_peers = match self.departing.contains(&worker) {
             true => Standing::Leaving,
             false => Standing::Live,
         };
-        Some(worse(listed, told))
+        Some(worse(listed, by_peers))
     }
 
     /// departing returns the workers known to be leaving or gone.
--- a/crates/stackpier-coordination/src/once.rs
+++ b/crates/stackpier-coordination/src/once.rs
@@ -116,7 +116,7 @@
     asks: VecDeque<Ask>,
     first: bool,
     granted: Option<Member>,
-    out_of_step: bool,
+    holder_mismatch: bool,
 }
 
 impl Once {
@@ -126,7 +126,7 @@
             asks: VecDeque::new(),
             first: setting.first,
             granted: None,
-            out_of_step: false,
+            holder_mismatch: false,
         };
         let known = setting.map.newest().is_some()
             && (setting.first || setting.data_centres.contains(&setting.data_centre));
@@ -155,7 +155,7 @@
 
     fn plan_here(&mut self, key: Key, setting: Setting<'_>, options: Options) {
         self.asks
-            .extend(earlier(key, setting.map, options, Closing::Moved));
+            .extend(earlier_seals(key, setting.map, options, Closing::Moved));
         let Some(newest) = setting.map.newest() else {
             return;
         };
@@ -182,35 +182,35 @@
                 self.unreachable()
             }
             (_, Told::Silence) => self.unreachable(),
-            (Ask::Seal(..), Told::Held(Held::Record(record))) => self.moved(record),
+            (Ask::Seal(..), Told::Held(Held::Record(record))) => self.continue_after(record),
             (Ask::There(..), Told::There(Sealing::Sealed)) => self.advance(),
-            (Ask::There(..), Told::There(Sealing::Found(record))) => self.found(record),
+            (Ask::There(..), Told::There(Sealing::Found(record))) => self.decide_found(record),
             (Ask::Grant(holder, _), Told::Held(Held::Granting(Granting::Granted))) => {
                 self.granted = Some(holder);
                 self.advance()
             }
             (Ask::Grant(..), Told::Held(Held::Granting(Granting::Already(record)))) => {
-                self.found(record)
+                self.decide_found(record)
             }
             // A holder that restarted, or a map out of step: it may be known
             // elsewhere, and coming back soon helps.
             _ => {
-                self.out_of_step = true;
+                self.holder_mismatch = true;
                 self.unreachable()
             }
         }
     }
 
-    /// out_of_step tells whether the request was refused because a holder went
+    /// holder_mismatch tells whether the request was refused because a holder went
     /// by another map or had restarted; asking again soon may help.
-    pub fn out_of_step(&self) -> bool {
-        self.out_of_step
+    pub fn holder_mismatch(&self) -> bool {
+        self.holder_mismatch
     }
 
-    fn moved(&mut self, record: Record) -> Progress {
+    fn continue_after(&mut self, record: Record) -> Progress {
         match record {
             Record::Moved => self.advance(),
-            other => self.found(other),
+            other => self.decide_found(other),
         }
     }
 
@@ -222,7 +222,7 @@
         }
     }
 
-    fn found(&mut self, record: Record) -> Progress {
+    fn decide_found(&mut self, record: Record) -> Progress {
         let verdict = match record {
             Record::Done(reply) => Verdict::Repeat(reply),
             Record::Granted(_) => Verdict::Refuse(Kind::InProgress),
@@ -247,9 +247,9 @@
     }
 }
 
-/// earlier returns the seals needed at the holders that earlier versions of
+/// earlier_seals returns the seals needed at the holders that earlier versions of
 /// the map name for a key.
-fn earlier(key: Key, map: &Map, options: Options, closing: Closing) -> Vec<Ask> {
+fn earlier_seals(key: Key, map: &Map, options: Options, closing: Closing) -> Vec<Ask> {
     let newest = map.newest().and_then(|newest| newest.holder(key));
     let mut asks: Vec<Ask> = Vec::new();
     for version in map.relevant(key.minted(), options.allowance_ms) {
@@ -277,7 +277,7 @@
         return Vec::new();
     };
     let mut seals: Vec<(Member, Seal)> = Vec::new();
-    for ask in earlier(key, map, options, Closing::Sealed) {
+    for ask in earlier_seals(key, map, options, Closing::Sealed) {
         if let Ask::Seal(member, seal) = ask {
             seals.push((member, seal));
         }
--- a/crates/stackpier-coordination/src/owner.rs
+++ b/crates/stackpier-coordination/src/owner.rs
@@ -12,11 +12,11 @@
 mod commit;
 mod contact;
 mod learn;
+mod messages;
 mod read;
 mod renewer;
 mod report;
 mod revise;
-mod words;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -104,12 +104,12 @@
     /// Runs that a swap on its way ends because their worker's lease lapsed.
     /// The worker's lease is not renewed before the page shows them as ended:
     /// else such a run could start while the swap is under way.
-    lapsing: BTreeMap<Name, BTreeSet<Run>>,
+    expiring: BTreeMap<Name, BTreeSet<Run>>,
     dirty: BTreeSet<u16>,
     /// Words of placers not yet written to the page.
-    told: Vec<Claims>,
+    unwritten: Vec<Claims>,
     /// Those of them that the swap on its way writes.
-    taken: Vec<Claims>,
+    writing: Vec<Claims>,
     stale: bool,
     swept: Option<Millis>,
     committed: Option<Millis>,
@@ -133,10 +133,10 @@
             evictions: Budget::new(reaction::Options::default()),
             evict: BTreeSet::new(),
             breakers: BTreeMap::new(),
-            lapsing: BTreeMap::new(),
+            expiring: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            told: Vec::new(),
-            taken: Vec::new(),
+            unwritten: Vec::new(),
+            writing: Vec::new(),
             stale: true,
             swept: None,
             committed: None,
@@ -165,14 +165,14 @@
         let mut effects = Vec::new();
         match event {
             Event::Tick => {}
-            Event::Read(Key::Rack(_), fetched) => self.loaded(now, fetched, &mut effects),
-            Event::Read(Key::Homes(_, shard), fetched) => self.homes_read(shard, fetched),
+            Event::Read(Key::Rack(_), fetched) => self.receive_page(now, fetched, &mut effects),
+            Event::Read(Key::Homes(_, shard), fetched) => self.receive_homes(shard, fetched),
             Event::Read(_, _) => {}
-            Event::Swapped(_, swap) => self.swapped(now, swap, table, &mut effects),
-            Event::Synced(worker, reply) => self.synced(now, worker, reply, &mut effects),
-            Event::Hint(hint) => self.hinted(hint),
+            Event::Swapped(_, swap) => self.finish_swap(now, swap, table, &mut effects),
+            Event::Synced(worker, reply) => self.receive_reply(now, worker, reply, &mut effects),
+            Event::Hint(hint) => self.receive_hint(hint),
         }
-        self.note_sole(now, table);
+        self.update_sole_since(now, table);
         self.advance(now, table, writer, &mut effects);
         self.call_workers(now, table, &mut effects);
         self.update_report(now);
--- a/crates/stackpier-coordination/src/owner/calls.rs
+++ b/crates/stackpier-coordination/src/owner/calls.rs
@@ -16,7 +16,7 @@
 const URGENT_GAP_MS: u64 = 20;
 
 impl Owner {
-    pub(super) fn synced(
+    pub(super) fn receive_reply(
         &mut self,
         now: Millis,
         worker: Name,
@@ -33,7 +33,7 @@
         }
         contact.boot = reply.boot;
         contact.clock = reply.clock;
-        contact.heard = now;
+        contact.last_contact = now;
         contact.running = reply.running.into_iter().collect();
         contact.ended = reply
             .ended
@@ -48,8 +48,8 @@
     pub(super) fn call_workers(&mut self, now: Millis, table: &Table, effects: &mut Vec<Effect>) {
         if !self.renews() {
             self.contacts.clear();
-            self.lapsing.clear();
-            self.told.clear();
+            self.expiring.clear();
+            self.unwritten.clear();
             return;
         }
         let Some((_, page)) = &self.page else { return };
@@ -60,12 +60,12 @@
             return;
         }
         let open = |worker: Name, run: &Run| page.live(worker).any(|row| row.run == *run);
-        self.lapsing
+        self.expiring
             .retain(|worker, runs| runs.iter().any(|run| open(*worker, run)));
         let callable = |w: &&Worker| w.condition != Condition::Gone && table.vm(w.name).is_some();
         for worker in page.workers.iter().filter(callable) {
             let contact = self.contacts.entry(worker.name).or_insert_with(|| Contact {
-                heard: now,
+                last_contact: now,
                 ..Contact::default()
             });
             if !due(now, page, worker, contact, self.options.sync_ms) {
@@ -79,7 +79,7 @@
             };
             self.evict.retain(open);
             let mut call = call(page, worker, contact, term, self.options.lease_ms);
-            if self.lapsing.contains_key(&worker.name) {
+            if self.expiring.contains_key(&worker.name) {
                 call = probe(&call);
             }
             effects.push(Effect::Sync(worker.name, call));
@@ -99,7 +99,7 @@
 
 /// urgent tells whether a worker has runs to start or stop.
 fn urgent(page: &Rack, worker: &Worker, contact: &Contact) -> bool {
-    if contact.boot != worker.boot || contact.called.is_some_and(|at| at > contact.heard) {
+    if contact.boot != worker.boot || contact.called.is_some_and(|at| at > contact.last_contact) {
         return false;
     }
     page.live(worker.name).any(|row| match row.phase {
--- a/crates/stackpier-coordination/src/owner/commit.rs
+++ b/crates/stackpier-coordination/src/owner/commit.rs
@@ -23,14 +23,14 @@
 const WORKER_BREAKER: breaker::Options = breaker::Options {
     failures: 3,
     pause_ms: 10_000,
-    longest_ms: 600_000,
+    max_pause_ms: 600_000,
 };
 
 impl Owner {
     /// may_commit tells whether the interval between commits has passed, which
     /// is shorter while urgent work waits.
     pub(super) fn may_commit(&self, now: Millis) -> bool {
-        let mut claimed = self.told.iter().flat_map(|claims| &claims.claimed);
+        let mut claimed = self.unwritten.iter().flat_map(|claims| &claims.claimed);
         let urgent = claimed.any(|home| home.work.urgent);
         let interval = interval_ms(self.options.commit_ms, urgent);
         self.committed.is_none_or(|at| now.since(at) >= interval)
@@ -52,12 +52,12 @@
         let Some((revision, page)) = &self.page else {
             return;
         };
-        let lapsing = self.lapsed_runs(now, page);
+        let expiring = self.expired_runs(now, page);
         let mut next = page.clone();
         self.revise(now, table, homes, &mut next, effects);
         let differing = self.differing(&next);
         self.dirty.extend(differing);
-        self.taken = std::mem::take(&mut self.told);
+        self.writing = std::mem::take(&mut self.unwritten);
         let unchanged = next == *page;
         let revision = *revision;
         self.step = Step::Idle;
@@ -65,8 +65,8 @@
             return;
         }
         next.write = writer.number();
-        for (worker, runs) in lapsing {
-            self.lapsing.entry(worker).or_default().extend(runs);
+        for (worker, runs) in expiring {
+            self.expiring.entry(worker).or_default().extend(runs);
         }
         self.committed = Some(now);
         let page = Page::Rack(next.clone());
@@ -74,7 +74,7 @@
         effects.push(Effect::Swap(Key::Rack(self.rack), revision, page));
     }
 
-    pub(super) fn swapped(
+    pub(super) fn finish_swap(
         &mut self,
         now: Millis,
         swap: Swapped,
@@ -87,20 +87,26 @@
         let Swapped::Won(revision) = swap else {
             // Nothing is believed of an unclear write before it is read back.
             self.stale = true;
-            self.told.append(&mut self.taken);
+            self.unwritten.append(&mut self.writing);
             return;
         };
-        self.taken.clear();
+        self.writing.clear();
         let before = self.page.replace((revision, *next));
         let old = before.map_or_else(Rack::empty, |(_, page)| page);
-        self.note_changes(now, &old, table, effects);
+        self.report_changes(now, &old, table, effects);
     }
 
-    /// note_changes tells what the page that was just written changed.
-    fn note_changes(&mut self, now: Millis, old: &Rack, table: &Table, effects: &mut Vec<Effect>) {
+    /// report_changes tells what the page that was just written changed.
+    fn report_changes(
+        &mut self,
+        now: Millis,
+        old: &Rack,
+        table: &Table,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some((_, page)) = &self.page else { return };
         let renewer = page.renewer.filter(|renewer| old.renewer != Some(*renewer));
-        let ended = note_rows(page, old, effects);
+        let ended = log_rows(page, old, effects);
         effects.extend(self.ended_hints(ended.iter()));
         self.count_failures(now, &ended);
         if let Some(renewer) = renewer {
@@ -114,8 +120,8 @@
             let breaker = self.breakers.entry(row.worker);
             let breaker = breaker.or_insert_with(|| Breaker::new(WORKER_BREAKER));
             match row.phase {
-                Phase::Ended(Outcome::Failed) => breaker.failed(now, true),
-                Phase::Ended(Outcome::Finished | Outcome::Stopped(_)) => breaker.succeeded(),
+                Phase::Ended(Outcome::Failed) => breaker.record_failure(now, true),
+                Phase::Ended(Outcome::Finished | Outcome::Stopped(_)) => breaker.record_success(),
                 Phase::Ended(_) | Phase::Running | Phase::Stopping => {}
             }
         }
@@ -124,19 +130,19 @@
     /// begin_term forgets what was known under an earlier renewer.
     fn begin_term(&mut self, now: Millis, term: u64, table: &Table, effects: &mut Vec<Effect>) {
         self.contacts.clear();
-        self.lapsing.clear();
+        self.expiring.clear();
         self.dirty.extend(0..self.options.shards);
         self.renounced = None;
         self.sole_since = None;
-        self.note_sole(now, table);
+        self.update_sole_since(now, table);
         effects.push(Effect::Note(Note::TookOver(self.rack, term)));
         effects.extend(self.renewer_hint());
     }
 }
 
-/// note_rows notes the runs that a page shows as committed or ended and the
+/// log_rows notes the runs that a page shows as committed or ended and the
 /// one before does not, and returns those that ended.
-fn note_rows(page: &Rack, old: &Rack, effects: &mut Vec<Effect>) -> Vec<Row> {
+fn log_rows(page: &Rack, old: &Rack, effects: &mut Vec<Effect>) -> Vec<Row> {
     let mut ended = Vec::new();
     for row in &page.rows {
         let before = old.row(row.run).map(|row| row.phase);
--- a/crates/stackpier-coordination/src/owner/contact.rs
+++ b/crates/stackpier-coordination/src/owner/contact.rs
@@ -14,7 +14,7 @@
 pub(super) struct Contact {
     pub(super) boot: Boot,
     pub(super) clock: Clock,
-    pub(super) heard: Millis,
+    pub(super) last_contact: Millis,
     pub(super) running: BTreeSet<Run>,
     pub(super) ended: BTreeMap<Run, Outcome>,
     pub(super) calling: bool,
--- a/crates/stackpier-coordination/src/owner/words.rs
+++ b/crates/stackpier-coordination/src/owner/messages.rs
@@ -13,26 +13,26 @@
 use crate::effect::Effect;
 
 impl Owner {
-    pub(super) fn hinted(&mut self, hint: Hint) {
+    pub(super) fn receive_hint(&mut self, hint: Hint) {
         match hint {
-            Hint::Claims(claims) if claims.rack == self.rack => self.hear(claims),
+            Hint::Claims(claims) if claims.rack == self.rack => self.receive_claims(claims),
             Hint::TakenOver {
                 rack,
                 renewer,
                 term,
-            } if rack == self.rack => self.hear_renewer(renewer, term),
+            } if rack == self.rack => self.receive_renewer(renewer, term),
             _ => {}
         }
     }
 
-    /// hear takes a placer's word, or reads its shard if the word is older than
+    /// receive_claims takes a placer's word, or reads its shard if the word is older than
     /// what the page was settled by.
-    pub(super) fn hear(&mut self, claims: Claims) {
+    pub(super) fn receive_claims(&mut self, claims: Claims) {
         let Some((_, page)) = &self.page else { return };
         if claims.revision < page.settled_by(claims.shard) {
             self.dirty.insert(claims.shard);
         } else if self.renews() {
-            self.told.push(claims);
+            self.unwritten.push(claims);
         }
     }
 
@@ -40,7 +40,7 @@
     /// even after their placers' words were taken: some word was lost.
     pub(super) fn differing(&self, next: &Rack) -> BTreeSet<u16> {
         let mut sums = BTreeMap::new();
-        for claims in &self.told {
+        for claims in &self.unwritten {
             let newest = sums
                 .entry(claims.shard)
                 .or_insert((claims.revision, claims.sum));
--- a/crates/stackpier-coordination/src/owner/read.rs
+++ b/crates/stackpier-coordination/src/owner/read.rs
@@ -27,7 +27,12 @@
 pub(super) type Snapshots = BTreeMap<u16, (Revision, homes::Shard)>;
 
 impl Owner {
-    pub(super) fn loaded(&mut self, now: Millis, fetched: Fetched, effects: &mut Vec<Effect>) {
+    pub(super) fn receive_page(
+        &mut self,
+        now: Millis,
+        fetched: Fetched,
+        effects: &mut Vec<Effect>,
+    ) {
         if !matches!(self.step, Step::Loading) {
             return;
         }
@@ -61,7 +66,7 @@
         self.page = Some((revision, page));
     }
 
-    pub(super) fn homes_read(&mut self, shard: u16, fetched: Fetched) {
+    pub(super) fn receive_homes(&mut self, shard: u16, fetched: Fetched) {
         let Step::Reading(reading) = &mut self.step else {
             return;
         };
--- a/crates/stackpier-coordination/src/owner/renewer.rs
+++ b/crates/stackpier-coordination/src/owner/renewer.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// heard_renounced takes another daemon's promise not to renew.
-    pub fn heard_renounced(&mut self, from: Member, below: u64) {
+    /// receive_renounced takes another daemon's promise not to renew.
+    pub fn receive_renounced(&mut self, from: Member, below: u64) {
         let Some((_, page)) = &mut self.page else {
             return;
         };
@@ -42,8 +42,8 @@
         page.former.retain(|old| !done(old));
     }
 
-    /// note_sole notes the moment from which no former renewer can renew.
-    pub(super) fn note_sole(&mut self, now: Millis, table: &Table) {
+    /// update_sole_since notes the moment from which no former renewer can renew.
+    pub(super) fn update_sole_since(&mut self, now: Millis, table: &Table) {
         let Some((_, page)) = &mut self.page else {
             return;
         };
@@ -61,9 +61,9 @@
         }
     }
 
-    /// hear_renewer has the page read again if it concerns this daemon: it may
+    /// receive_renewer has the page read again if it concerns this daemon: it may
     /// have lost the rack, or won it by a swap whose answer was lost.
-    pub(super) fn hear_renewer(&mut self, renewer: Member, term: u64) {
+    pub(super) fn receive_renewer(&mut self, renewer: Member, term: u64) {
         let known = self.page().and_then(|page| page.renewer);
         let newer = term > known.map_or(0, |renewer| renewer.term);
         let concerned = self.renews() || renewer.boot == self.me.boot;
--- a/crates/stackpier-coordination/src/owner/report.rs
+++ b/crates/stackpier-coordination/src/owner/report.rs
@@ -9,11 +9,11 @@
 };
 
 use super::Owner;
-use crate::interference::LEAST_REPORTED;
+use crate::interference::MIN_REPORTED_EXCESS;
 
-/// QUIET_SYNCS is the count of missed calls after which a worker is offered
+/// MAX_MISSED_SYNCS is the count of missed calls after which a worker is offered
 /// no new tasks.
-const QUIET_SYNCS: u64 = 3;
+const MAX_MISSED_SYNCS: u64 = 3;
 
 impl Owner {
     pub(super) fn update_report(&mut self, now: Millis) {
@@ -30,7 +30,7 @@
             change: self.report.change,
             workers: workers.collect(),
             endpoints: endpoints.collect(),
-            pairs: self.model.report(LEAST_REPORTED),
+            pairs: self.model.report(MIN_REPORTED_EXCESS),
         };
         if next != self.report {
             self.report = next;
@@ -45,12 +45,12 @@
         worker: &Worker,
     ) -> Option<WorkerReport> {
         let contact = self.contacts.get(&worker.name)?;
-        let quiet = now.since(contact.heard) > QUIET_SYNCS * self.options.sync_ms;
+        let silent = now.since(contact.last_contact) > MAX_MISSED_SYNCS * self.options.sync_ms;
         let broken = self
             .breakers
             .get(&worker.name)
             .is_some_and(|b| !b.ready(now));
-        if quiet || broken {
+        if silent || broken {
             return None;
         }
         Some(WorkerReport {
--- a/crates/stackpier-coordination/src/owner/revise.rs
+++ b/crates/stackpier-coordination/src/owner/revise.rs
@@ -32,7 +32,7 @@
             return;
         }
         self.revise_workers(table, next);
-        for run in self.lapsing.values().flatten() {
+        for run in self.expiring.values().flatten() {
             next.end(*run, Outcome::Lost);
         }
         for run in &self.evict {
@@ -44,7 +44,7 @@
         for (shard, (revision, page)) in homes {
             self.settle_shard(now, *shard, *revision, page, next);
         }
-        for claims in &self.told {
+        for claims in &self.unwritten {
             self.settle_claims(now, claims, next);
         }
     }
@@ -108,28 +108,28 @@
         for (run, outcome) in &contact.ended {
             next.end(*run, *outcome);
         }
-        if self.lapsed(now, contact) && next.end_all(name) {
+        if self.expired(now, contact) && next.end_all(name) {
             effects.push(Effect::Note(Note::Lapsed(name)));
         }
     }
 
-    /// lapsed_runs returns the open runs on workers whose lease has lapsed.
-    pub(super) fn lapsed_runs(&self, now: Millis, page: &Rack) -> BTreeMap<Name, BTreeSet<Run>> {
-        let lapsed = self
+    /// expired_runs returns the open runs on workers whose lease has lapsed.
+    pub(super) fn expired_runs(&self, now: Millis, page: &Rack) -> BTreeMap<Name, BTreeSet<Run>> {
+        let expired = self
             .contacts
             .iter()
-            .filter(|(_, contact)| self.lapsed(now, contact));
+            .filter(|(_, contact)| self.expired(now, contact));
         let runs = |name: Name| page.live(name).map(|row| row.run).collect();
-        lapsed.map(|(name, _)| (*name, runs(*name))).collect()
+        expired.map(|(name, _)| (*name, runs(*name))).collect()
     }
 
-    /// lapsed tells whether every lease that anybody may have renewed at a
+    /// expired tells whether every lease that anybody may have renewed at a
     /// worker is over.
-    pub(super) fn lapsed(&self, now: Millis, contact: &Contact) -> bool {
+    pub(super) fn expired(&self, now: Millis, contact: &Contact) -> bool {
         let Some((_, sole)) = self.sole_since else {
             return false;
         };
-        let last = sole.max(contact.heard);
+        let last = sole.max(contact.last_contact);
         now.since(last) > self.options.lease_ms + self.options.drift_ms
     }
 
@@ -183,11 +183,11 @@
             checkpoint: home.checkpoint,
             phase: Phase::Running,
         };
-        let lapsed = self
+        let expired = self
             .contacts
             .get(&claim.worker)
-            .is_some_and(|c| self.lapsed(now, c));
-        if claim.stop || lapsed || next.commit(row).is_err() {
+            .is_some_and(|c| self.expired(now, c));
+        if claim.stop || expired || next.commit(row).is_err() {
             row.phase = Phase::Ended(Outcome::Refused);
             next.rows.push(row);
         }
--- a/crates/stackpier-coordination/src/placer.rs
+++ b/crates/stackpier-coordination/src/placer.rs
@@ -5,8 +5,8 @@
 
 mod claim;
 mod commit;
+mod messages;
 mod wanted;
-mod words;
 
 use std::collections::BTreeMap;
 
@@ -89,9 +89,9 @@
     page: Option<(Revision, Shard)>,
     step: Step,
     /// Ended runs not yet written to the page.
-    told: Ends,
+    unwritten: Ends,
     /// Those of them that the swap on its way writes.
-    taken: Ends,
+    writing: Ends,
     stale: bool,
     swept: Option<Millis>,
     committed: Option<Millis>,
@@ -111,8 +111,8 @@
             options,
             page: None,
             step: Step::Idle,
-            told: Ends::new(),
-            taken: Ends::new(),
+            unwritten: Ends::new(),
+            writing: Ends::new(),
             stale: true,
             swept: None,
             committed: None,
@@ -137,11 +137,11 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::Read(Key::Homes(..), fetched) => self.loaded(fetched),
-            Event::Swapped(_, swap) => self.swapped(swap, &mut effects),
+            Event::Read(Key::Homes(..), fetched) => self.receive_page(fetched),
+            Event::Swapped(_, swap) => self.finish_swap(swap, &mut effects),
             Event::Hint(Hint::Ended { shard, rack, ended }) if shard == self.shard => {
                 let ends = ended.iter().map(|e| ((rack, e.run), e.outcome));
-                self.told.extend(ends);
+                self.unwritten.extend(ends);
             }
             Event::Tick | Event::Read(..) | Event::Synced(..) | Event::Hint(_) => {}
         }
@@ -149,7 +149,7 @@
         effects
     }
 
-    fn loaded(&mut self, fetched: Fetched) {
+    fn receive_page(&mut self, fetched: Fetched) {
         if !matches!(self.step, Step::Loading) {
             return;
         }
@@ -187,16 +187,16 @@
             )));
             return;
         }
-        self.note_urgent(view.catalogue);
+        self.update_urgent(view.catalogue);
         let may_commit = self
             .committed
             .is_none_or(|at| now.since(at) >= self.interval_ms());
         self.try_swap(now, may_commit, view, writer, effects);
     }
 
-    /// note_urgent notes whether any accepted intent is urgent, if the intents
+    /// update_urgent notes whether any accepted intent is urgent, if the intents
     /// have changed since the last look.
-    fn note_urgent(&mut self, catalogue: &Catalogue) {
+    fn update_urgent(&mut self, catalogue: &Catalogue) {
         let changes = catalogue.changes();
         if self.seen.is_some_and(|seen| seen.changes == changes) {
             return;
--- a/crates/stackpier-coordination/src/placer/claim.rs
+++ b/crates/stackpier-coordination/src/placer/claim.rs
@@ -50,7 +50,7 @@
                     worker: chosen.worker,
                     stop: false,
                 });
-                take(&mut candidates, &chosen, &home.work);
+                occupy(&mut candidates, &chosen, &home.work);
             }
             None => effects.push(Effect::Note(Note::Unplaced(home.run()))),
         }
@@ -173,7 +173,7 @@
     offers.iter().map(filled).collect()
 }
 
-fn take(offers: &mut [Offer], chosen: &Candidate, work: &Work) {
+fn occupy(offers: &mut [Offer], chosen: &Candidate, work: &Work) {
     let found = offers
         .iter_mut()
         .find(|offer| offer.candidate.worker == chosen.worker);
--- a/crates/stackpier-coordination/src/placer/commit.rs
+++ b/crates/stackpier-coordination/src/placer/commit.rs
@@ -51,18 +51,18 @@
         let retry = self
             .waiting
             .is_some_and(|at| now.since(at) >= self.options.commit_ms);
-        if self.seen == Some(seen) && self.told.is_empty() && !retry {
+        if self.seen == Some(seen) && self.unwritten.is_empty() && !retry {
             return;
         }
         self.seen = Some(seen);
         self.urgent = false;
         let mut next = page.clone();
-        release(&self.told, &mut next);
+        release(&self.unwritten, &mut next);
         self.reconcile(view, &mut next);
         claim::place(view, self.options.policy, &mut next, effects);
         let waits = next.homes.iter().any(|home| home.place == Place::Pending);
         self.waiting = waits.then_some(now);
-        self.taken = std::mem::take(&mut self.told);
+        self.writing = std::mem::take(&mut self.unwritten);
         let unchanged = next == *page;
         let revision = *revision;
         self.step = Step::Idle;
@@ -77,7 +77,7 @@
         effects.push(Effect::Swap(key, revision, page));
     }
 
-    pub(super) fn swapped(&mut self, swap: Swapped, effects: &mut Vec<Effect>) {
+    pub(super) fn finish_swap(&mut self, swap: Swapped, effects: &mut Vec<Effect>) {
         let Step::Swapping(next) = std::mem::replace(&mut self.step, Step::Idle) else {
             return;
         };
@@ -85,12 +85,12 @@
             // Nothing is believed of an unclear write before it is read back.
             self.stale = true;
             self.seen = None;
-            self.told.append(&mut self.taken);
+            self.unwritten.append(&mut self.writing);
             return;
         };
-        self.taken.clear();
+        self.writing.clear();
         let old = self.page.replace((revision, *next)).map(|(_, page)| page);
-        self.tell_racks(&old.unwrap_or_default(), effects);
+        self.send_changes(&old.unwrap_or_default(), effects);
     }
 }
 
--- a/crates/stackpier-coordination/src/placer/words.rs
+++ b/crates/stackpier-coordination/src/placer/messages.rs
@@ -14,8 +14,8 @@
 use crate::effect::{Effect, Note};
 
 impl Placer {
-    /// tell_racks tells each rack what changed of its claims.
-    pub(super) fn tell_racks(&self, old: &Shard, effects: &mut Vec<Effect>) {
+    /// send_changes tells each rack what changed of its claims.
+    pub(super) fn send_changes(&self, old: &Shard, effects: &mut Vec<Effect>) {
         let Some((_, page)) = &self.page else { return };
         let before: BTreeMap<key::Task, &Home> = old
             .homes
--- a/crates/stackpier-coordination/src/placer/wanted.rs
+++ b/crates/stackpier-coordination/src/placer/wanted.rs
@@ -37,7 +37,7 @@
             for index in 0..count {
                 let work = work(object, key::Task { job, index });
                 match places.get(&work.task) {
-                    Some(place) => want(&mut next.homes[*place], work),
+                    Some(place) => update_home(&mut next.homes[*place], work),
                     None => next.homes.push(Home::new(work)),
                 }
             }
@@ -48,7 +48,7 @@
                 .get(&task.job)
                 .is_some_and(|count| task.index >= *count);
             if shrunk || superseded(view.catalogue, home) {
-                unwant(home);
+                cancel_home(home);
             }
         }
     }
@@ -77,8 +77,8 @@
     object.is_some_and(|object| object.generation > home.work.generation)
 }
 
-/// want brings a home in line with its intent.
-fn want(home: &mut Home, work: Work) {
+/// update_home brings a home in line with its intent.
+fn update_home(home: &mut Home, work: Work) {
     home.unwanted = false;
     match home.place {
         Place::Pending => home.work = work,
@@ -91,8 +91,8 @@
     }
 }
 
-/// unwant ends a waiting task and asks to stop a claimed one.
-fn unwant(home: &mut Home) {
+/// cancel_home ends a waiting task and asks to stop a claimed one.
+fn cancel_home(home: &mut Home) {
     home.unwanted = true;
     match &mut home.place {
         Place::Pending => home.place = Place::Ended(End::Cancelled),
--- a/crates/stackpier-coordination/src/policy.rs
+++ b/crates/stackpier-coordination/src/policy.rs
@@ -40,13 +40,13 @@
     /// Batch work waits rather than add more slowdown than this to the services
     /// of a worker, in thousandths. A low limit favours tail latency, a high
     /// one batch throughput.
-    pub most_excess_milli: u32,
+    pub max_excess_milli: u32,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
-            most_excess_milli: 300,
+            max_excess_milli: 300,
         }
     }
 }
@@ -56,13 +56,13 @@
 /// Services spread over racks and workers and take the emptiest. Batch work
 /// fills the fullest worker that its services can bear.
 pub fn choose(work: &Work, candidates: &[Candidate], options: Options) -> Option<Candidate> {
-    let bearable = |candidate: &&Candidate| {
-        work.class == Class::Service || candidate.excess_milli <= options.most_excess_milli
+    let acceptable = |candidate: &&Candidate| {
+        work.class == Class::Service || candidate.excess_milli <= options.max_excess_milli
     };
     candidates
         .iter()
         .filter(|candidate| work.size.fits(&candidate.free))
-        .filter(bearable)
+        .filter(acceptable)
         .min_by_key(|candidate| rank(work, candidate))
         .copied()
 }
--- a/crates/stackpier-coordination/src/reaction.rs
+++ b/crates/stackpier-coordination/src/reaction.rs
@@ -20,7 +20,7 @@
     /// Calm samples in a row before a throttled neighbour is released.
     pub calms: u32,
     /// Least excess a neighbour must be blamed for to be evicted.
-    pub least_blame: f64,
+    pub min_blame: f64,
     /// Time in which a rack earns one eviction, in milliseconds.
     pub eviction_ms: u64,
     /// Evictions a rack can save up.
@@ -34,7 +34,7 @@
             low: 1.1,
             breaches: 2,
             calms: 6,
-            least_blame: 0.1,
+            min_blame: 0.1,
             eviction_ms: 20_000,
             evictions: 4,
         }
@@ -149,7 +149,7 @@
         self.breaches = 0;
         let blamed = suspects
             .iter()
-            .filter(|suspect| suspect.blame >= options.least_blame);
+            .filter(|suspect| suspect.blame >= options.min_blame);
         let worst = blamed.max_by(|one, other| one.blame.total_cmp(&other.blame))?;
         if self.throttled.insert(worst.run) {
             return Some(Action::Throttle(worst.run));
--- a/crates/stackpier-coordination/src/retry.rs
+++ b/crates/stackpier-coordination/src/retry.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// succeeded earns a share of a retry.
-    pub fn succeeded(&mut self) {
+    /// record_success earns a share of a retry.
+    pub fn record_success(&mut self) {
         let full = self.options.reserve * COST;
         self.milli = (self.milli + self.options.share_milli).min(full);
     }
--- a/crates/stackpier-coordination/src/route/cost.rs
+++ b/crates/stackpier-coordination/src/route/cost.rs
@@ -6,10 +6,10 @@
 
 use super::{Key, Service, Upstream};
 
-/// LEAST_SUCCESS is the lowest share of successes that costs are reckoned with.
-const LEAST_SUCCESS: f64 = 0.01;
-/// FORGOTTEN is the weight below which old knowledge counts for nothing.
-const FORGOTTEN: f64 = 0.05;
+/// MIN_SUCCESS is the lowest share of successes that costs are reckoned with.
+const MIN_SUCCESS: f64 = 0.01;
+/// MIN_WEIGHT is the weight below which old knowledge counts for nothing.
+const MIN_WEIGHT: f64 = 0.05;
 
 impl Service {
     /// cheapest returns the upstream with the lowest cost; of equal ones it
@@ -34,18 +34,18 @@
         self.upstreams.get(key).map_or(f64::MAX, |upstream| {
             let age = now.since(upstream.measured) as f64;
             let faded = 0.5_f64.powf(age / self.options.half_life_ms);
-            let weight = if faded < FORGOTTEN { 0.0 } else { faded };
+            let weight = if faded < MIN_WEIGHT { 0.0 } else { faded };
             let success = 1.0 - (1.0 - upstream.success) * weight;
-            let latency = self.believed_ms(weight, median, upstream);
+            let latency = self.estimated_ms(weight, median, upstream);
             let load = 1.0 + f64::from(upstream.in_flight) / self.options.limit.start;
-            load * latency / success.max(LEAST_SUCCESS).powi(2)
+            load * latency / success.max(MIN_SUCCESS).powi(2)
         })
     }
 
-    /// believed_ms returns an upstream's latency in milliseconds, as far as it
+    /// estimated_ms returns an upstream's latency in milliseconds, as far as it
     /// tells: noise counts as the median, and old samples count with their
     /// `weight`.
-    fn believed_ms(&self, weight: f64, median: f64, upstream: &Upstream) -> f64 {
+    fn estimated_ms(&self, weight: f64, median: f64, upstream: &Upstream) -> f64 {
         let latency = median + (upstream.latency_ms - median) * weight;
         match latency <= median * self.options.noise {
             true => median,
--- a/crates/stackpier-coordination/src/route/service.rs
+++ b/crates/stackpier-coordination/src/route/service.rs
@@ -147,7 +147,7 @@
         upstream.done(now, took_ms, outcome, smoothing, may_eject);
         if outcome == Outcome::Answered {
             self.holding_ms = smooth(self.holding_ms, took_ms as f64, smoothing);
-            self.budget.succeeded();
+            self.budget.record_success();
         }
     }
 
@@ -178,11 +178,11 @@
     /// pick chooses an upstream with a free slot and counts the request as in
     /// flight there.
     fn pick<R: Rng>(&mut self, now: Millis, avoid: &[Name], rng: &mut R) -> Option<Key> {
-        let takes = |key: &Key| {
+        let accepts = |key: &Key| {
             let upstream = self.upstreams.get(*key);
-            upstream.is_some_and(|upstream| upstream.takes(now))
+            upstream.is_some_and(|upstream| upstream.accepts(now))
         };
-        let open: Vec<Key> = self.keys.iter().copied().filter(takes).collect();
+        let open: Vec<Key> = self.keys.iter().copied().filter(accepts).collect();
         let fresh = |key: &Key| {
             let upstream = self.upstreams.get(*key);
             upstream.is_some_and(|upstream| !avoid.contains(&upstream.endpoint.worker))
@@ -194,7 +194,7 @@
         let key = self.cheapest(now, &pool, rng)?;
         let upstream = self.upstreams.get_mut(key)?;
         upstream.in_flight += 1;
-        upstream.breaker.sent();
+        upstream.breaker.record_sent();
         Some(key)
     }
 }
--- a/crates/stackpier-coordination/src/route/upstream.rs
+++ b/crates/stackpier-coordination/src/route/upstream.rs
@@ -39,8 +39,8 @@
         }
     }
 
-    /// takes tells whether a request may be sent here now.
-    pub(super) fn takes(&self, now: Millis) -> bool {
+    /// accepts tells whether a request may be sent here now.
+    pub(super) fn accepts(&self, now: Millis) -> bool {
         self.limit.allows(self.in_flight) && self.breaker.ready(now)
     }
 
@@ -59,23 +59,23 @@
                 self.latency_ms = smooth(self.latency_ms, took_ms as f64, smoothing);
                 self.measured = now;
                 self.success = smooth(self.success, 1.0, smoothing);
-                self.limit.answered(self.in_flight);
-                self.breaker.succeeded();
+                self.limit.record_answer(self.in_flight);
+                self.breaker.record_success();
             }
             Outcome::Busy => {
                 // It is alive, so a probe that meets it has done its work.
-                self.limit.refused();
-                self.breaker.succeeded();
+                self.limit.record_refusal();
+                self.breaker.record_success();
             }
             Outcome::Refused | Outcome::Broken => {
                 self.success = smooth(self.success, 0.0, smoothing);
                 self.measured = now;
-                self.breaker.failed(now, may_eject);
+                self.breaker.record_failure(now, may_eject);
             }
             Outcome::TimedOut => {
                 self.latency_ms = smooth(self.latency_ms, took_ms as f64, smoothing);
                 self.measured = now;
-                self.breaker.failed(now, may_eject);
+                self.breaker.record_failure(now, may_eject);
             }
         }
     }
--- a/crates/stackpier-coordination/tests/reaction.rs
+++ b/crates/stackpier-coordination/tests/reaction.rs
@@ -5,7 +5,7 @@
 
 use stackpier_coordination::{
     history::History,
-    interference::{self, LEAST_REPORTED, Model, Pair, Sample},
+    interference::{self, MIN_REPORTED_EXCESS, Model, Pair, Sample},
     reaction::{Action, Budget, Options, Suspect, Watch},
 };
 use stackpier_core::{
@@ -53,9 +53,9 @@
     assert!((0.8..1.2).contains(&mean(noisy)), "{}", mean(noisy));
     // Some blame of the first joint samples stays with the quiet one for long,
     // as the filter keeps no covariance; it must stay below what is told.
-    assert!(mean(quiet) < LEAST_REPORTED, "{}", mean(quiet));
+    assert!(mean(quiet) < MIN_REPORTED_EXCESS, "{}", mean(quiet));
     let told: Vec<Name> = model
-        .report(LEAST_REPORTED)
+        .report(MIN_REPORTED_EXCESS)
         .iter()
         .map(|pair| pair.neighbour)
         .collect();
--- a/crates/stackpier-coordination/tests/route.rs
+++ b/crates/stackpier-coordination/tests/route.rs
@@ -146,7 +146,7 @@
 fn full_service_queues_sheds_and_serves_the_earliest_deadline_first() {
     let mut options = Options::default();
     options.limit.start = 1.0;
-    options.limit.most = 1.0;
+    options.limit.max_value = 1.0;
     let mut fixture = Fixture::new(1, options);
     let busy = fixture.send();
     assert_eq!(fixture.arrive(Millis(9_000)), Choice::Wait);
--- a/crates/stackpier-fuzz/src/placement/daemon.rs
+++ b/crates/stackpier-fuzz/src/placement/daemon.rs
@@ -38,7 +38,7 @@
     sweep_ms: 1_000,
     shards: SHARDS,
     policy: policy::Options {
-        most_excess_milli: 300,
+        max_excess_milli: 300,
     },
 };
 
@@ -67,7 +67,7 @@
         };
         let options = membership::Options { silence_ms: 1_500 };
         let mut table = Table::new(me, data_centre(), options);
-        table.list(self.roster.clone());
+        table.update_roster(self.roster.clone());
         let owners = (0..RACKS).map(|n| (rack(n), Owner::new(rack(n), me, OWNER)));
         let placers = (0..SHARDS).map(|shard| (shard, Placer::new(shard, PLACER)));
         Daemon {
--- a/crates/stackpier-fuzz/src/placement/intents.rs
+++ b/crates/stackpier-fuzz/src/placement/intents.rs
@@ -66,7 +66,9 @@
 
     pub(super) fn learn_list(&mut self, number: usize) {
         if !self.daemons[number].frozen {
-            self.daemons[number].table.list(self.roster.clone());
+            self.daemons[number]
+                .table
+                .update_roster(self.roster.clone());
         }
     }
 }
--- a/crates/stackpier-fuzz/src/placement/messages.rs
+++ b/crates/stackpier-fuzz/src/placement/messages.rs
@@ -93,14 +93,14 @@
                 Hint::Holders => {}
             },
             Body::Beat(beat) => {
-                daemon.table.heard(daemon.clock.at(time), &beat);
+                daemon.table.record_heartbeat(daemon.clock.at(time), &beat);
                 for report in beat.racks {
                     take_report(daemon, report);
                 }
                 for promise in beat.renounced {
                     if let Some(owner) = daemon.owners.get_mut(&promise.rack) {
                         hit("branch: promise not to renew heard");
-                        owner.heard_renounced(beat.from, promise.below);
+                        owner.receive_renounced(beat.from, promise.below);
                     }
                 }
             }
--- a/crates/stackpier-load/src/capacity/build/machine.rs
+++ b/crates/stackpier-load/src/capacity/build/machine.rs
@@ -60,7 +60,7 @@
         };
         vm(label, Role::Worker, Some(rack))
     });
-    table.list(Roster {
+    table.update_roster(Roster {
         vms: entries.chain(workers).collect(),
     });
     for number in 1..daemons {
@@ -68,7 +68,7 @@
             from: member(number),
             ..heartbeat(0)
         };
-        table.heard(Millis(0), &beat);
+        table.record_heartbeat(Millis(0), &beat);
     }
     table
 }
--- a/crates/stackpierd/src/heartbeat.rs
+++ b/crates/stackpierd/src/heartbeat.rs
@@ -102,7 +102,7 @@
 }
 
 fn take_list<B: Backend>(daemon: &Daemon<B>, roster: Roster) {
-    lock(&daemon.table).list(roster);
+    lock(&daemon.table).update_roster(roster);
     daemon.refresh_routes();
 }
 
@@ -235,7 +235,7 @@
 }
 
 fn take_reply<B: Backend>(daemon: &Daemon<B>, address: SocketAddr, reply: &HeartbeatReply) {
-    lock(&daemon.table).answered(clock::now(), reply);
+    lock(&daemon.table).record_reply(clock::now(), reply);
     let sum = lock(&daemon.catalogue).digest().sum();
     if reply.sum != sum {
         pull(daemon, address);
@@ -275,7 +275,7 @@
 
     /// take_heartbeat serves another daemon's heartbeat.
     pub fn take_heartbeat(&self, beat: &Heartbeat) -> HeartbeatReply {
-        lock(&self.table).heard(clock::now(), beat);
+        lock(&self.table).record_heartbeat(clock::now(), beat);
         if beat.data_centre == self.settings.data_centre {
             let taken = beat
                 .racks
--- a/crates/stackpierd/src/request/keyed.rs
+++ b/crates/stackpierd/src/request/keyed.rs
@@ -111,7 +111,7 @@
                         let held = Held { key, holder, by };
                         self.daemon.finish(held, Record::NotRun);
                     }
-                    return (verdict, once.out_of_step());
+                    return (verdict, once.holder_mismatch());
                 }
             }
         }
--- a/crates/stackpierd/src/scheduler.rs
+++ b/crates/stackpierd/src/scheduler.rs
@@ -150,7 +150,7 @@
             Input::Renounced(from, all) => {
                 for promise in all {
                     if let Some(owner) = self.owners.get_mut(&promise.rack) {
-                        owner.heard_renounced(from, promise.below);
+                        owner.receive_renounced(from, promise.below);
                     }
                 }
             }
--- a/crates/stackpierd/src/settings/check.rs
+++ b/crates/stackpierd/src/settings/check.rs
@@ -75,7 +75,7 @@
         ..route::Options::default()
     };
     options.limit.start = limits.upstream_start;
-    options.limit.most = limits.upstream_most;
+    options.limit.max_value = limits.upstream_most;
     options
 }
 
@@ -95,7 +95,9 @@
         commit_ms: times.commit_ms,
         sweep_ms: times.sweep_ms,
         shards,
-        policy: policy::Options { most_excess_milli },
+        policy: policy::Options {
+            max_excess_milli: most_excess_milli,
+        },
     }
 }
 
--- a/crates/stackpierd/src/settings/raw.rs
+++ b/crates/stackpierd/src/settings/raw.rs
@@ -30,7 +30,7 @@
 }
 
 fn default_excess() -> u32 {
-    policy::Options::default().most_excess_milli
+    policy::Options::default().max_excess_milli
 }
 
 fn default_shards() -> u16 {
@@ -78,7 +78,7 @@
             head_bytes: callers.head_bytes,
             queue: route.queue,
             upstream_start: route.limit.start,
-            upstream_most: route.limit.most,
+            upstream_most: route.limit.max_value,
         }
     }
 }
