--- a/crates/stackpier-coordination/src/accept.rs
+++ b/crates/stackpier-coordination/src/accept.rs
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Acceptance of an operator's change by compare-and-swap, settled also when
-//! replies of the store are lost.
+//! Acceptance of an operator's change by compare-and-swap, also when replies of
+//! the store are lost.
 //!
 //! A change is accepted once a page with its submission was read back or the
-//! swap was confirmed. An unclear swap is tried again at the revision read
-//! back: either the late one took effect and the submission is found, or the
-//! new one wins and the late one never can.
+//! swap was confirmed. After a swap with unknown outcome the page is read again
+//! and the swap is tried at the revision read: either the first swap took
+//! effect and the submission is found, or the second one succeeds and the first
+//! one no longer can, as the revision has changed.
 
 use stackpier_core::{Error, Kind, Name, Result, key::Job};
 use stackpier_protocol::operator::Accepted;
@@ -17,10 +18,10 @@
 
 use crate::effect::Writer;
 
-/// MAX_ROUNDS is how often a change is tried against racing writers.
+/// MAX_ROUNDS is how often a change is tried while other writers change the page.
 pub const MAX_ROUNDS: u32 = 40;
 
-/// Wanted is what the operator asks for.
+/// Wanted is what the operator requests.
 #[derive(Clone, Debug)]
 pub enum Wanted {
     /// Store this intent.
@@ -32,11 +33,12 @@
 /// Change is one submission.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Id of the submission.
+    /// Id of the submission, by which a repeat is recognised.
     pub submission: u128,
-    /// The version the operator saw: `None` takes any, zero wants none.
+    /// The version that the operator saw: `None` accepts any, zero requires that
+    /// the intent does not exist.
     pub expect: Option<u64>,
-    /// What is asked for.
+    /// The request.
     pub wanted: Wanted,
 }
 
@@ -49,7 +51,7 @@
         }
     }
 
-    /// apply makes the change on a copy of a page. `None` says that the page
+    /// apply makes the change on a copy of a page. It returns `None` if the page
     /// has this submission already.
     pub fn apply(&self, page: &Shard) -> Result<Option<Shard>> {
         let old = page.object(self.name());
@@ -94,8 +96,8 @@
         }
     }
 
-    /// job keeps the key of a running intent; one submitted again after it
-    /// was cancelled is a new job.
+    /// job returns the key of the intent's job, which stays the same until the
+    /// intent is cancelled. One submitted again after that is a new job.
     fn job(&self, old: Option<&Object>) -> Job {
         match old.filter(|old| !old.cancelled) {
             Some(old) => old.job,
@@ -104,24 +106,25 @@
     }
 }
 
-/// generation counts on when a cancelled intent is submitted again.
+/// generation returns the intent's generation, which increases when a cancelled
+/// intent is submitted again.
 fn generation(old: Option<&Object>) -> u32 {
     old.map_or(1, |old| old.generation + u32::from(old.cancelled))
 }
 
-/// Next is what the acceptance needs done.
+/// Next is what the caller of the acceptance does next.
 #[derive(Clone, Debug)]
 pub enum Next {
     /// Read the intents page.
     Read,
     /// Swap the intents page.
     Swap(Revision, Page),
-    /// Answer the operator. A page newly accepted is handed out with its
+    /// Answer the operator. An accepted change comes with the page and its
     /// revision.
     Answer(Result<Accepted>, Option<(Revision, Shard)>),
 }
 
-/// Acceptance is the machine for one change.
+/// Acceptance is the state machine for one change.
 #[derive(Debug)]
 pub struct Acceptance {
     change: Change,
@@ -131,7 +134,7 @@
 }
 
 impl Acceptance {
-    /// new starts with reading the page.
+    /// new starts by reading the page.
     pub fn new(change: Change) -> (Acceptance, Next) {
         let acceptance = Acceptance {
             change,
@@ -142,7 +145,7 @@
         (acceptance, Next::Read)
     }
 
-    /// read takes the page.
+    /// read processes the page that was read.
     pub fn read(&mut self, fetched: Fetched, writer: &mut Writer) -> Next {
         let (revision, page) = match fetched {
             Fetched::Found(revision, Page::Intents(page)) => (revision, page),
@@ -160,7 +163,7 @@
         }
     }
 
-    /// swapped takes the outcome of a swap.
+    /// swapped processes the outcome of a swap.
     pub fn swapped(&mut self, swap: Swapped) -> Next {
         self.rounds += 1;
         if let (Swapped::Won(revision), Some(page)) = (swap, self.written.take()) {
--- a/crates/stackpier-coordination/src/breaker.rs
+++ b/crates/stackpier-coordination/src/breaker.rs
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Ejection of an upstream that fails, with a probe after a growing pause.
+//! A circuit breaker: ejects an upstream that fails, and probes it after a pause
+//! that doubles with each ejection.
 
 use stackpier_core::Millis;
 
-/// Options are the counts and times of a breaker.
+/// Options hold the counts and times of a breaker.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Failures in a row that eject.
+    /// Consecutive failures after which the upstream is ejected.
     pub failures: u32,
     /// The first pause, in milliseconds.
     pub pause_ms: u64,
@@ -24,18 +25,18 @@
     }
 }
 
-/// State is what a breaker lets through.
+/// State is which requests a breaker lets through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Everything.
+    /// All requests.
     Closed,
-    /// Nothing before this point, then one probe.
+    /// None before this time, then one probe.
     Open(Millis),
-    /// Nothing while the probe is out.
+    /// None while the probe is in flight.
     Probing,
 }
 
-/// Breaker watches one upstream.
+/// Breaker counts the failures of one upstream or worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Breaker {
     options: Options,
@@ -45,7 +46,7 @@
 }
 
 impl Breaker {
-    /// new starts closed.
+    /// new returns a closed breaker.
     pub fn new(options: Options) -> Breaker {
         Breaker {
             options,
@@ -55,12 +56,12 @@
         }
     }
 
-    /// state returns what is let through.
+    /// state returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// ready tells whether a request may be sent: any when closed, a probe
+    /// ready reports whether a request may be sent: any while closed, one probe
     /// after the pause.
     pub fn ready(&self, now: Millis) -> bool {
         match self.state {
@@ -70,22 +71,23 @@
         }
     }
 
-    /// record_sent notes that a request is sent.
+    /// record_sent records that a request was sent: after the pause it is the
+    /// probe.
     pub fn record_sent(&mut self) {
         if matches!(self.state, State::Open(_)) {
             self.state = State::Probing;
         }
     }
 
-    /// record_success closes the breaker.
+    /// record_success closes the breaker and resets the pause.
     pub fn record_success(&mut self) {
         self.state = State::Closed;
         self.failures = 0;
         self.pause_ms = self.options.pause_ms;
     }
 
-    /// record_failure counts a failure; `may_eject` is false while too large a share
-    /// of the upstreams is ejected.
+    /// record_failure counts a failure. `may_eject` is false while too large a
+    /// share of the upstreams is ejected; a failed probe ejects anyway.
     pub fn record_failure(&mut self, now: Millis, may_eject: bool) {
         self.failures += 1;
         let probe = self.state == State::Probing;
--- a/crates/stackpier-coordination/src/effect.rs
+++ b/crates/stackpier-coordination/src/effect.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the placement machines ask for, and what they are told.
+//! The effects that the placement state machines request, and the events that
+//! they receive.
 
 use crate::reaction::Action;
 use stackpier_core::{Name, key::Write};
@@ -13,7 +14,7 @@
     work::{Outcome, Run},
 };
 
-/// Effect is something a machine wants done.
+/// Effect is an action that a state machine requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Read a page from the store. Answered by [`Event::Read`].
@@ -23,13 +24,13 @@
     Swap(Key, Revision, Page),
     /// Call a worker. Answered by [`Event::Synced`].
     Sync(Name, Call),
-    /// Tell the daemons of the data centre, ourselves among them.
+    /// Send a hint to the daemons of the data centre, this one included.
     Hint(Hint),
     /// Log a decision.
     Note(Note),
 }
 
-/// Note is a decision worth a line in the log.
+/// Note is a decision that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
     /// A run was committed to a worker.
@@ -38,21 +39,21 @@
     Ended(Run, Outcome),
     /// A task was claimed for a worker.
     Claimed(Run, Name),
-    /// A task has no place; the machine goes on trying.
+    /// No worker fits a task; the placer keeps trying.
     Unplaced(Run),
     /// This daemon renews the rack from now on, with this term.
     TookOver(Name, u64),
-    /// This daemon renews the rack no more, as this term is there.
+    /// This daemon stops renewing the rack, as this term has begun.
     GaveUp(Name, u64),
-    /// A batch task was throttled, released or evicted for a service's sake.
+    /// A batch task was throttled, released or evicted to protect a service.
     Reacted(Action, Name),
-    /// A worker's lease has lapsed and its runs are over.
+    /// A worker's lease has expired and its runs are over.
     Lapsed(Name),
-    /// A worker has started anew and its runs are over.
+    /// A worker has restarted and its runs are over.
     Rebooted(Name),
 }
 
-/// Event is something a machine is told.
+/// Event is an input of a state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Time has passed.
@@ -61,27 +62,27 @@
     Read(Key, Fetched),
     /// Answer to [`Effect::Swap`].
     Swapped(Key, Swapped),
-    /// Answer to [`Effect::Sync`]; `None` when none came.
+    /// Answer to [`Effect::Sync`]; `None` when the worker did not answer.
     Synced(Name, Option<Reply>),
     /// A page changed.
     Hint(Hint),
 }
 
-/// Writer numbers the writes of one process run.
+/// Writer numbers the writes of one run of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Writer {
     next: Write,
 }
 
 impl Writer {
-    /// new starts the numbering of a process run.
+    /// new starts the numbering for a run of the process.
     pub fn new(boot: stackpier_core::key::Boot) -> Writer {
         Writer {
             next: Write { boot, number: 1 },
         }
     }
 
-    /// number returns a number that this process run has not used.
+    /// number returns a number that this run of the process has not used.
     pub fn number(&mut self) -> Write {
         let write = self.next;
         self.next.number += 1;
--- a/crates/stackpier-coordination/src/history.rs
+++ b/crates/stackpier-coordination/src/history.rs
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //! What ran on a worker at earlier times, so that a usage sample that arrives
-//! late is matched with the placement it was taken under.
+//! late is matched with the tasks that ran when it was taken.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use stackpier_core::Name;
 use stackpier_protocol::sync::Clock;
 
-/// MAX_STATES is how many changes are remembered.
+/// MAX_STATES is how many changes are kept.
 const MAX_STATES: usize = 64;
 
 /// History holds the batch tasks of one worker, by job, at each change.
@@ -16,7 +16,7 @@
     states: VecDeque<State>,
 }
 
-/// State is what ran from a reading of the clock on.
+/// State holds the batch tasks that ran from a reading of the worker's clock on.
 #[derive(Clone, Debug)]
 struct State {
     since: Clock,
@@ -24,7 +24,7 @@
 }
 
 impl History {
-    /// record notes what runs at a reading of the worker's clock.
+    /// record stores what runs at a reading of the worker's clock, if it changed.
     pub fn record(&mut self, now: Clock, batch: BTreeMap<Name, u32>) {
         if self.states.back().is_some_and(|last| last.batch == batch) {
             return;
@@ -35,8 +35,8 @@
         }
     }
 
-    /// at returns what ran at a reading of the worker's clock, if that is
-    /// still known.
+    /// at returns what ran at a reading of the worker's clock, unless that is
+    /// older than the kept changes.
     pub fn at(&self, clock: Clock) -> Option<&BTreeMap<Name, u32>> {
         let states = self.states.iter().rev();
         let found = states.into_iter().find(|state| state.since <= clock);
--- a/crates/stackpier-coordination/src/holder.rs
+++ b/crates/stackpier-coordination/src/holder.rs
@@ -8,7 +8,8 @@
 use stackpier_protocol::peer::{Finish, Grant, Held, Seal};
 use stackpier_state::{holders::Map, ledger::Ledger};
 
-/// Holder keeps the records of the keys that fall to this daemon.
+/// Holder keeps the records of the request keys that the holder map assigns to
+/// this daemon.
 #[derive(Debug)]
 pub struct Holder {
     boot: Boot,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// learn takes a map unless a newer one is known. From then on nothing is
+    /// learn adopts a map unless a newer one is known. From then on nothing is
     /// granted under earlier versions.
     pub fn learn(&mut self, map: Map) {
         if map.number() > self.map.number() || map.number() == self.map.number() {
@@ -34,17 +35,17 @@
         }
     }
 
-    /// map returns the newest map known.
+    /// map returns the newest known map.
     pub fn map(&self) -> &Map {
         &self.map
     }
 
-    /// records returns the count of records.
+    /// records returns the number of records.
     pub fn records(&self) -> usize {
         self.ledger.len()
     }
 
-    /// grant serves a [`Grant`].
+    /// grant answers a [`Grant`].
     pub fn grant(&mut self, grant: Grant) -> Held {
         match self.refusal(grant.holder, Some(grant.version), grant.key) {
             Some(held) => held,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// seal serves a [`Seal`].
+    /// seal answers a [`Seal`].
     pub fn seal(&mut self, seal: Seal) -> Held {
         match self.refusal(seal.holder, seal.newest, seal.key) {
             Some(held) => held,
@@ -60,12 +61,12 @@
         }
     }
 
-    /// finish serves a [`Finish`].
+    /// finish stores the outcome that a [`Finish`] reports.
     pub fn finish(&mut self, finish: Finish) {
         self.ledger.finish(finish.key, finish.by, finish.record);
     }
 
-    /// drop_old forgets records of keys made before `oldest`.
+    /// drop_old deletes the records of keys created before `oldest`.
     pub fn drop_old(&mut self, oldest: Unix) {
         self.ledger.drop_old(oldest);
     }
--- a/crates/stackpier-coordination/src/interference.rs
+++ b/crates/stackpier-coordination/src/interference.rs
@@ -1,34 +1,38 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What is learnt of how much batch work slows services down, pair by pair.
+//! Estimates of how much batch jobs slow services down, for each pair of a
+//! service and a job.
 //!
-//! The slowdown of a service task is taken as the sum of what each neighbour
+//! The slowdown of a service task is modelled as the sum of what each neighbour
 //! adds, times the service's load. Each pair has a mean and a variance, which a
-//! scalar Kalman filter updates with every sample; a pair that was never seen
-//! together has the prior.
+//! scalar Kalman filter updates with every sample; a pair that was never
+//! observed has the prior.
 
 use std::collections::BTreeMap;
 
 use stackpier_core::Name;
 use stackpier_protocol::peer::PairReport;
 
-/// MIN_REPORTED_EXCESS is the least excess of a pair that placers are told.
+/// MIN_REPORTED_EXCESS is the smallest excess of a pair that is
+/// reported to placers.
 pub const MIN_REPORTED_EXCESS: f64 = 0.1;
-/// MIN_LOAD is the load that an idle service counts with.
+/// MIN_LOAD is the smallest load that a sample is weighted with, so that an idle
+/// service counts too.
 const MIN_LOAD: f64 = 0.1;
-/// MILLI turns shares into thousandths.
+/// MILLI is the number of thousandths in a unit.
 const MILLI: f64 = 1_000.0;
 
-/// Options are the filter's constants. Excess is the slowdown beyond one, at
+/// Options hold the filter's constants. Excess is the slowdown minus one, at
 /// full load.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Mean of a pair that was never seen.
+    /// Mean excess of a pair that was never observed.
     pub prior_mean: f64,
-    /// Variance of a pair that was never seen.
+    /// Variance of a pair that was never observed.
     pub prior_variance: f64,
-    /// Variance of one sample.
+    /// Measurement variance of one sample.
     pub noise: f64,
-    /// What each sample adds to a pair's variance, as pairs change.
+    /// Added to a pair's variance by each sample, as the excess of a pair changes
+    /// over time.
     pub drift: f64,
 }
 
@@ -48,16 +52,16 @@
 pub struct Pair {
     /// The service that is slowed down.
     pub victim: Name,
-    /// The batch job beside it.
+    /// The batch job on the same worker.
     pub neighbour: Name,
 }
 
-/// Estimate is what is believed of a pair.
+/// Estimate is the filter's state for a pair.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// Excess that one neighbour adds at full load.
+    /// Excess that one task of the job adds at full load.
     pub mean: f64,
-    /// How uncertain that is.
+    /// Variance of the mean.
     pub variance: f64,
 }
 
@@ -70,11 +74,11 @@
     pub neighbours: &'a BTreeMap<Name, u32>,
     /// The service's load, from 0 to 1.
     pub load: f64,
-    /// Time per unit of work against running alone.
+    /// Time per unit of work, relative to running alone.
     pub slowdown: f64,
 }
 
-/// Model holds all pairs that were seen.
+/// Model holds the estimates of all observed pairs.
 #[derive(Clone, Debug)]
 pub struct Model {
     options: Options,
@@ -82,7 +86,7 @@
 }
 
 impl Model {
-    /// new starts with no pair seen.
+    /// new returns a model without observations.
     pub fn new(options: Options) -> Model {
         Model {
             options,
@@ -90,7 +94,7 @@
         }
     }
 
-    /// estimate returns what is believed of a pair.
+    /// estimate returns the estimate of a pair, or the prior.
     pub fn estimate(&self, pair: Pair) -> Estimate {
         self.pairs.get(&pair).copied().unwrap_or(Estimate {
             mean: self.options.prior_mean,
@@ -98,7 +102,7 @@
         })
     }
 
-    /// observe learns from one sample.
+    /// observe updates the estimates with one sample.
     pub fn observe(&mut self, sample: &Sample<'_>) {
         let load = sample.load.max(MIN_LOAD);
         let pair = |neighbour: &Name| Pair {
@@ -125,7 +129,8 @@
         }
     }
 
-    /// report returns the pairs whose excess at full load is above `min_excess`.
+    /// report returns the pairs whose mean excess at full load is `min_excess` or
+    /// more.
     pub fn report(&self, min_excess: f64) -> Vec<PairReport> {
         let reported = |(_, estimate): &(&Pair, &Estimate)| estimate.mean >= min_excess;
         let row = |(pair, estimate): (&Pair, &Estimate)| PairReport {
@@ -137,8 +142,8 @@
         self.pairs.iter().filter(reported).map(row).collect()
     }
 
-    /// merge joins another daemon's estimate with the own one, each weighted by
-    /// its certainty.
+    /// merge adopts another daemon's estimate of a pair, unless the own one has
+    /// at most its variance.
     pub fn merge(&mut self, report: &PairReport) {
         let pair = Pair {
             victim: report.victim,
--- a/crates/stackpier-coordination/src/interval.rs
+++ b/crates/stackpier-coordination/src/interval.rs
@@ -5,8 +5,9 @@
 /// for urgent work.
 const URGENT_SPEEDUP: u64 = 8;
 
-/// interval_ms returns the shortest time between two commits, in milliseconds,
-/// from that of ordinary work: shorter while urgent work waits.
+/// interval_ms returns the shortest time between two commits, in milliseconds.
+/// `commit_ms` is the interval for ordinary work; urgent work that waits
+/// shortens it.
 pub(crate) fn interval_ms(commit_ms: u64, urgent: bool) -> u64 {
     match urgent {
         true => commit_ms / URGENT_SPEEDUP,
--- a/crates/stackpier-coordination/src/lib.rs
+++ b/crates/stackpier-coordination/src/lib.rs
@@ -3,8 +3,8 @@
 //! membership, requests that run at most once, and accepted intents.
 //!
 //! Nothing here does I/O. Time and randomness are passed in, and the larger
-//! machines have the shape `step(now, event) -> effects`. The daemon and the
-//! fuzz tests drive the same code.
+//! state machines have the form `step(now, event) -> effects`. The daemon and
+//! the fuzz tests run the same code.
 
 pub mod accept;
 pub mod breaker;
--- a/crates/stackpier-coordination/src/limit.rs
+++ b/crates/stackpier-coordination/src/limit.rs
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 //! The limit on requests in flight to one upstream. It starts from a fair
-//! share of the upstream's slots and adapts to refusals and delay, as the
-//! entry VMs share the slots without talking to each other.
+//! share of the upstream's slots and adapts to answers and refusals, as the
+//! entry VMs share the slots without coordinating with each other.
 
 /// Options are the bounds and steps of a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Where the limit starts.
+    /// Initial limit.
     pub start: f64,
-    /// The lowest limit.
+    /// Lowest limit.
     pub min_value: f64,
-    /// The highest limit.
+    /// Highest limit.
     pub max_value: f64,
-    /// Factor on a refusal.
+    /// Factor by which a refusal multiplies the limit.
     pub shrink: f64,
-    /// What a full round of answers within the limit adds.
+    /// Added to the limit by one round of answers, as many as it allows in flight.
     pub grow: f64,
 }
 
@@ -46,18 +46,18 @@
         }
     }
 
-    /// allows tells whether one more may be sent.
+    /// allows reports whether one more request may be sent.
     pub fn allows(&self, in_flight: u32) -> bool {
         f64::from(in_flight) + 1.0 <= self.value
     }
 
-    /// value returns the limit now.
+    /// value returns the current limit.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// record_answer takes a good answer that came while `in_flight` were out; the
-    /// limit only grows where it is used.
+    /// record_answer records an answer that came while `in_flight` other requests
+    /// were in flight. The limit grows only while it is fully used.
     pub fn record_answer(&mut self, in_flight: u32) {
         if f64::from(in_flight) + 1.0 >= self.value {
             let step = self.options.grow / self.value;
@@ -65,7 +65,8 @@
         }
     }
 
-    /// record_refusal takes a refusal for want of slots.
+    /// record_refusal lowers the limit after the upstream refused a request
+    /// because it had no free slot.
     pub fn record_refusal(&mut self) {
         self.value = (self.value * self.options.shrink).max(self.options.min_value);
     }
--- a/crates/stackpier-coordination/src/membership.rs
+++ b/crates/stackpier-coordination/src/membership.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Which daemons and workers are there: the platform's lagging list joined
+//! Which daemons and workers exist: the platform's list, which lags, combined
 //! with heartbeats.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,11 +14,11 @@
 };
 use stackpier_state::holders::Member;
 
-/// Options are the times membership goes by.
+/// Options hold the times of membership.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Time without a word, in milliseconds, after which a daemon is taken as
-    /// unreachable.
+    /// Time without a heartbeat or reply, in milliseconds, after which a daemon
+    /// counts as unreachable.
     pub silence_ms: u64,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Daemon is what is known of one entry VM.
+/// Daemon holds what heartbeats and replies show of one entry VM.
 #[derive(Clone, Copy, Debug)]
 struct Daemon {
     boot: Boot,
@@ -45,15 +45,15 @@
     options: Options,
     roster: BTreeMap<Name, Vm>,
     daemons: BTreeMap<Name, Daemon>,
-    /// Runs of daemons that are over, with the VM they ran on.
+    /// Boots of daemons that are over, with the VM they ran on.
     ended: BTreeSet<Member>,
-    /// Workers that a peer knows to be leaving or gone.
+    /// Workers that peers or [`Table::depart`] reported as leaving or gone.
     departing: BTreeSet<Name>,
     stopping: bool,
 }
 
 impl Table {
-    /// new starts a view that knows nobody but its own daemon.
+    /// new returns a view that knows only its own daemon.
     pub fn new(me: Member, data_centre: Name, options: Options) -> Table {
         Table {
             me,
@@ -82,13 +82,14 @@
         self.stopping = true;
     }
 
-    /// stopping tells whether the own daemon is stopping.
+    /// stopping reports whether the own daemon is stopping.
     pub fn stopping(&self) -> bool {
         self.stopping
     }
 
-    /// list takes the platform's list. A VM once listed gone stays gone, and
-    /// one once leaving does not come back as live, as the list may lag.
+    /// update_roster merges in the platform's list. As the list may lag, a VM
+    /// once listed as gone stays gone, and one once listed as leaving does not
+    /// become live again.
     pub fn update_roster(&mut self, roster: Roster) {
         for vm in roster.vms {
             let standing = self.roster.get(&vm.name).map(|old| old.standing);
@@ -103,13 +104,13 @@
         }
     }
 
-    /// heard takes a heartbeat of another daemon.
+    /// record_heartbeat records a heartbeat of another daemon.
     pub fn record_heartbeat(&mut self, now: Millis, beat: &Heartbeat) {
         self.departing.extend(beat.departing.iter().copied());
         self.record_contact(now, beat.from, beat.data_centre, beat.leaving);
     }
 
-    /// answered takes the reply to an own heartbeat.
+    /// record_reply records the reply to a heartbeat of this daemon.
     pub fn record_reply(&mut self, now: Millis, reply: &HeartbeatReply) {
         let listed = self.roster.get(&reply.from.vm).map(|vm| vm.data_centre);
         if let Some(data_centre) = listed {
@@ -120,7 +121,7 @@
     fn record_contact(&mut self, now: Millis, from: Member, data_centre: Name, leaving: bool) {
         let before = self.daemons.get(&from.vm).copied();
         let known = before.map_or(from.boot, |daemon| daemon.boot);
-        // Boots are ordered by their start, so a late word of an earlier run
+        // Boots are ordered by their start, so a late message of an earlier boot
         // never ends a later one.
         if known != from.boot {
             self.ended.insert(Member {
@@ -143,16 +144,16 @@
         );
     }
 
-    /// gone tells whether a run of a daemon is proven to be over: its VM is
-    /// listed gone, or the VM runs a later one.
+    /// gone reports whether a boot of a daemon is proven to be over: its VM is
+    /// listed as gone, or the VM runs a later boot.
     pub fn gone(&self, member: Member) -> bool {
         let listed = self.roster.get(&member.vm).map(|vm| vm.standing);
         listed == Some(Standing::Gone) || self.ended.contains(&member)
     }
 
-    /// live returns the daemons of a data centre that can be given work: heard
-    /// of lately, neither leaving nor gone. Ours is among them unless it is
-    /// stopping.
+    /// live returns the daemons of a data centre that can be given work: those
+    /// with a recent contact that are neither leaving nor gone. This daemon is
+    /// included in its own data centre unless it is stopping.
     pub fn live(&self, now: Millis, data_centre: Name) -> Vec<Member> {
         let mut live: Vec<Member> = self
             .daemons
@@ -172,26 +173,27 @@
         live
     }
 
-    /// alive tells whether a run of a daemon was heard of lately and is not
-    /// leaving.
+    /// alive reports whether a boot of a daemon is among the live ones of this data
+    /// centre.
     pub fn alive(&self, now: Millis, member: Member) -> bool {
         self.live(now, self.data_centre).contains(&member)
     }
 
     /// chosen returns the daemon that normally does the work on `item` in this
-    /// data centre. It is a hint against contention, not a right.
+    /// data centre. It reduces contention and gives no exclusive right: daemons
+    /// may disagree on who is live.
     pub fn chosen(&self, now: Millis, item: &str) -> Option<Member> {
         let live = self.live(now, self.data_centre);
         let by_weight = |member: &Member| (weight(item.as_bytes(), member.boot.0), *member);
         live.into_iter().max_by_key(by_weight)
     }
 
-    /// preferred tells whether this daemon is the chosen one.
+    /// preferred reports whether this daemon is the chosen one for `item`.
     pub fn preferred(&self, now: Millis, item: &str) -> bool {
         self.chosen(now, item) == Some(self.me)
     }
 
-    /// standing returns what is known of a worker from the list and peers.
+    /// standing returns the worst standing of a worker by the list and by peers.
     pub fn standing(&self, worker: Name) -> Option<Standing> {
         let listed = self.roster.get(&worker)?.standing;
         let by_peers = match self.departing.contains(&worker) {
@@ -212,12 +214,12 @@
         all.into_iter().collect()
     }
 
-    /// depart notes that a worker is leaving.
+    /// depart marks a worker as leaving.
     pub fn depart(&mut self, worker: Name) {
         self.departing.insert(worker);
     }
 
-    /// vm returns the listed VM of this name.
+    /// vm returns the listed VM with this name.
     pub fn vm(&self, name: Name) -> Option<&Vm> {
         self.roster.get(&name)
     }
@@ -243,21 +245,20 @@
             .collect()
     }
 
-    /// data_centres returns all listed data centres, in the one order that all
-    /// daemons use.
+    /// data_centres returns all listed data centres, in the order that all daemons
+    /// use.
     pub fn data_centres(&self) -> BTreeSet<Name> {
         self.roster.values().map(|vm| vm.data_centre).collect()
     }
 
-    /// peers returns the listed entry VMs other than the own one that are not
-    /// gone.
+    /// peers returns the listed entry VMs that are not gone, without the own one.
     pub fn peers(&self) -> impl Iterator<Item = &Vm> {
         self.roster.values().filter(|vm| {
             vm.role == Role::Entry && vm.name != self.me.vm && vm.standing != Standing::Gone
         })
     }
 
-    /// reachable tells whether any daemon of a data centre was heard of lately.
+    /// reachable reports whether a data centre has any live daemon.
     pub fn reachable(&self, now: Millis, data_centre: Name) -> bool {
         !self.live(now, data_centre).is_empty()
     }
--- a/crates/stackpier-coordination/src/once.rs
+++ b/crates/stackpier-coordination/src/once.rs
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The receiver's side of requests that run at most once: whom to ask before
-//! a request is sent to an upstream.
+//! The receiver's side of requests that run at most once: which holders and data
+//! centres it asks before it sends a request to an upstream.
 //!
-//! Grants and seals are taken in the one order of data centres that all
-//! daemons use, so that two repeats can't seal each other out.
+//! Grants and seals are requested in an order of data centres that is the same
+//! on all daemons, so that two concurrent repeats of a request can't both be
+//! refused by each other's seals.
 
 use std::collections::VecDeque;
 
@@ -14,7 +15,7 @@
     ledger::{Closing, Grantee, Granting, Record, Reply},
 };
 
-/// Options are the times keys are judged by.
+/// Options hold the times by which keys are accepted or refused.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Age in milliseconds above which keys are refused.
@@ -33,7 +34,7 @@
 }
 
 impl Options {
-    /// check refuses a key whose time is out of the window.
+    /// check refuses a key that is too old or from the future.
     pub fn check(&self, key: Key, now: Unix) -> Result<(), Kind> {
         let minted = key.minted();
         if minted > now.plus(self.allowance_ms) {
@@ -45,14 +46,14 @@
         Ok(())
     }
 
-    /// oldest returns the time before which no daemon accepts a key any more,
-    /// so that its record can be dropped.
+    /// oldest returns the time before which no daemon accepts a key any more.
+    /// Records of older keys can be dropped.
     pub fn oldest(&self, now: Unix) -> Unix {
         Unix(now.0.saturating_sub(self.window_ms + 2 * self.allowance_ms))
     }
 }
 
-/// Ask is a question to another daemon, or to this one.
+/// Ask is a query to another daemon, or to this one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
     /// Send a seal to a holder. Answered by [`Told::Held`].
@@ -63,7 +64,7 @@
     There(Name, Key),
 }
 
-/// Told is the answer to an [`Ask`].
+/// Told is the answer to an [`Ask`], or its absence.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
     /// The holder's answer.
@@ -77,40 +78,40 @@
 /// Verdict is what to do with the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send it to an upstream, and tell this holder the outcome.
+    /// Send it to an upstream, and report the outcome to this holder.
     Run(Member),
-    /// Answer with what an earlier attempt got.
+    /// Answer with the reply that an earlier attempt received.
     Repeat(Reply),
     /// Refuse it.
     Refuse(Kind),
 }
 
-/// Progress is the state after an answer.
+/// Progress is the next query or the decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
-    /// Ask this next.
+    /// Send this query.
     Ask(Ask),
-    /// The request is decided. A grant that is not used must be returned to
-    /// the holder given here.
+    /// The request is decided. A holder given here made, or may have made, a
+    /// grant that is not used and must be returned to it.
     Decided(Verdict, Option<Member>),
 }
 
 /// Setting is what the receiver knows when the request arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting<'a> {
-    /// This try of the receiver.
+    /// This attempt of the receiver.
     pub me: Grantee,
     /// Its data centre.
     pub data_centre: Name,
-    /// The holder map it knows.
+    /// The newest holder map that it knows.
     pub map: &'a Map,
     /// All data centres, in the common order.
     pub data_centres: &'a [Name],
-    /// Whether the caller says that this is its first attempt.
+    /// Whether the caller states that this is its first attempt.
     pub first: bool,
 }
 
-/// Once is the machine for one request.
+/// Once is the state machine for one request.
 #[derive(Debug)]
 pub struct Once {
     asks: VecDeque<Ask>,
@@ -120,7 +121,8 @@
 }
 
 impl Once {
-    /// new starts the machine and returns the first question.
+    /// new starts the state machine and returns the first query, or a refusal if
+    /// no map or, for a repeat, not the own data centre is known.
     pub fn new(key: Key, setting: Setting<'_>, options: Options) -> (Once, Progress) {
         let mut once = Once {
             asks: VecDeque::new(),
@@ -170,14 +172,14 @@
         }
     }
 
-    /// tell takes the answer to the last question.
+    /// tell processes the answer to the last query.
     pub fn tell(&mut self, told: Told) -> Progress {
         let Some(asked) = self.asks.pop_front() else {
             return self.decide(Verdict::Refuse(Kind::Internal));
         };
         match (asked, told) {
             (Ask::Grant(holder, _), Told::Silence) => {
-                // The grant may have been made; it is returned unused.
+                // The grant may have been made, so it is returned unused.
                 self.granted = Some(holder);
                 self.unreachable()
             }
@@ -192,8 +194,8 @@
             (Ask::Grant(..), Told::Held(Held::Granting(Granting::Already(record)))) => {
                 self.decide_found(record)
             }
-            // A holder that restarted, or a map out of step: it may be known
-            // elsewhere, and coming back soon helps.
+            // The holder restarted, or its map has another version than ours.
+            // The maps may soon agree, so a retry may succeed.
             _ => {
                 self.holder_mismatch = true;
                 self.unreachable()
@@ -201,8 +203,8 @@
         }
     }
 
-    /// holder_mismatch tells whether the request was refused because a holder went
-    /// by another map or had restarted; asking again soon may help.
+    /// holder_mismatch reports whether the request was refused because a holder
+    /// used another version of the map or had restarted; a retry may succeed.
     pub fn holder_mismatch(&self) -> bool {
         self.holder_mismatch
     }
@@ -232,8 +234,9 @@
         self.decide(verdict)
     }
 
-    /// unreachable refuses as not run only what the caller says it never sent
-    /// before: an earlier attempt may have run where we can't look.
+    /// unreachable refuses the request. It is refused as not run only if the
+    /// caller states that it is the first attempt: an earlier one may have run,
+    /// and its record may be with a holder that didn't answer.
     fn unreachable(&self) -> Progress {
         let kind = match self.first {
             true => Kind::HolderUnreachable,
@@ -247,8 +250,8 @@
     }
 }
 
-/// earlier_seals returns the seals needed at the holders that earlier versions of
-/// the map name for a key.
+/// earlier_seals returns the seals needed at the holders that earlier versions
+/// of the map name for a key.
 fn earlier_seals(key: Key, map: &Map, options: Options, closing: Closing) -> Vec<Ask> {
     let newest = map.newest().and_then(|newest| newest.holder(key));
     let mut asks: Vec<Ask> = Vec::new();
@@ -270,8 +273,8 @@
     asks
 }
 
-/// seals returns the seals that refuse a key in a whole data centre, the
-/// newest holder's last. It is empty while no map is known.
+/// seals returns the seals that make a whole data centre refuse a key, with that
+/// of the newest holder last. It is empty while no map is known.
 pub fn seals(key: Key, map: &Map, options: Options) -> Vec<(Member, Seal)> {
     let Some(newest) = map.newest() else {
         return Vec::new();
@@ -295,10 +298,10 @@
     seals
 }
 
-/// sealing joins the answers to [`seals`], in their order.
+/// sealing combines the answers to [`seals`], given in the same order.
 ///
-/// A key that moved on from an earlier holder is settled by a later one. One
-/// that moved on from the newest holder shows that the map is out of date.
+/// If a key moved on from an earlier holder, the answer of a later one decides.
+/// If it moved on from the newest holder, the map is out of date.
 pub fn sealing(answers: &[Option<Held>]) -> Sealing {
     let mut all = !answers.is_empty();
     for (place, answer) in answers.iter().enumerate() {
--- a/crates/stackpier-coordination/src/owner.rs
+++ b/crates/stackpier-coordination/src/owner.rs
@@ -2,11 +2,11 @@
 //! The owner of a rack: commits claimed runs to the rack's page, renews the
 //! leases of its workers, and records how runs end.
 //!
-//! What keeps a task from running in two places: a claim moves only after the
-//! rack's page shows its run as ended, so what a revision of the homes claims
-//! stands until then; the page remembers by which revision ended rows were
-//! dropped, and takes no claim of an earlier one; a run ends in the page only
-//! with evidence from its worker or from its lapsed lease.
+//! A task never runs in two places, for three reasons. A claim moves only after
+//! the rack's page shows its run as ended, so a claim in a revision of the homes
+//! holds until then. The page records the revision of the homes by which ended
+//! rows were dropped, and accepts no claim of an earlier revision. A run ends in
+//! the page only on evidence: its worker's report or its expired lease.
 
 mod calls;
 mod commit;
@@ -42,25 +42,26 @@
 use read::{Reading, Snapshots};
 use renewer::member;
 
-/// NO_SLOWDOWN_MILLI is the slowdown of a task that runs as if alone, in
+/// NO_SLOWDOWN_MILLI is the slowdown of a task that runs as fast as alone, in
 /// thousandths.
 const NO_SLOWDOWN_MILLI: u32 = 1_000;
 
-/// Options are the times and counts an owner goes by.
+/// Options hold the times and counts of an owner.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Length of a worker's lease, in milliseconds.
     pub lease_ms: u64,
-    /// Time added to a lease before it counts as lapsed, for clock drift, in
+    /// Time added to a lease before it counts as expired, for clock drift, in
     /// milliseconds.
     pub drift_ms: u64,
     /// Time between two calls to a worker, in milliseconds.
     pub sync_ms: u64,
     /// Shortest time between two commits of the page, in milliseconds.
     pub commit_ms: u64,
-    /// Time between two looks at everything, hinted or not, in milliseconds.
+    /// Time between two sweeps, which find changes whose hints were lost, in
+    /// milliseconds.
     pub sweep_ms: u64,
-    /// Count of shards of homes in the data centre.
+    /// Number of shards of homes in the data centre.
     pub shards: u16,
 }
 
@@ -86,7 +87,7 @@
     Swapping(Box<Rack>),
 }
 
-/// Owner is the machine for one rack.
+/// Owner is the state machine for one rack.
 #[derive(Debug)]
 pub struct Owner {
     rack: Name,
@@ -95,32 +96,32 @@
     page: Option<(Revision, Rack)>,
     step: Step,
     contacts: BTreeMap<Name, Contact>,
-    /// What is learnt of batch work beside services.
+    /// Estimates of how batch work slows services down.
     model: Model,
     evictions: Budget,
-    /// Runs to be stopped for the sake of services.
+    /// Runs to be stopped to protect services.
     evict: BTreeSet<Run>,
     breakers: BTreeMap<Name, Breaker>,
-    /// Runs that a swap on its way ends because their worker's lease lapsed.
-    /// The worker's lease is not renewed before the page shows them as ended:
-    /// else such a run could start while the swap is under way.
+    /// Runs that the pending swap ends because their worker's lease expired. The
+    /// worker's lease is not renewed before the page shows them as ended:
+    /// otherwise such a run could start during the swap.
     expiring: BTreeMap<Name, BTreeSet<Run>>,
     dirty: BTreeSet<u16>,
-    /// Words of placers not yet written to the page.
+    /// Claims received from placers and not yet written to the page.
     unwritten: Vec<Claims>,
-    /// Those of them that the swap on its way writes.
+    /// Claims that the pending swap writes.
     writing: Vec<Claims>,
     stale: bool,
     swept: Option<Millis>,
     committed: Option<Millis>,
-    /// Since when nobody but this daemon can renew, under its current term.
+    /// The current term, and since when no other daemon can renew leases.
     sole_since: Option<(u64, Millis)>,
     renounced: Option<u64>,
     report: RackReport,
 }
 
 impl Owner {
-    /// new starts the machine for a rack with nothing known.
+    /// new returns the state machine for a rack, before its page is read.
     pub fn new(rack: Name, me: Member, options: Options) -> Owner {
         Owner {
             rack,
@@ -154,7 +155,7 @@
         }
     }
 
-    /// step takes one event and returns what to do.
+    /// step processes one event and returns the effects.
     pub fn step(
         &mut self,
         now: Millis,
@@ -179,7 +180,8 @@
         effects
     }
 
-    /// report returns the word for the data centre, if this daemon renews.
+    /// report returns the rack's report to the data centre, if this daemon is the
+    /// renewer.
     pub fn report(&self) -> Option<&RackReport> {
         self.renews().then_some(&self.report)
     }
@@ -212,7 +214,7 @@
         let due = self
             .swept
             .is_none_or(|at| now.since(at) >= self.options.sweep_ms);
-        // A daemon that neither renews nor would take over need not look.
+        // A daemon that neither renews nor would take over doesn't need the page.
         let concerned = self.renews() || table.preferred(now, self.rack.as_str());
         if !(due && concerned) {
             return;
--- a/crates/stackpier-coordination/src/owner/calls.rs
+++ b/crates/stackpier-coordination/src/owner/calls.rs
@@ -11,8 +11,8 @@
 use super::{Contact, NO_SLOWDOWN_MILLI, Owner};
 use crate::{effect::Effect, membership::Table};
 
-/// URGENT_GAP_MS is the shortest time between two calls to a worker, in
-/// milliseconds.
+/// URGENT_GAP_MS is the shortest time between two calls to a worker that has
+/// runs to start or stop, in milliseconds.
 const URGENT_GAP_MS: u64 = 20;
 
 impl Owner {
@@ -87,8 +87,8 @@
     }
 }
 
-/// due tells whether a worker is to be called now: after `sync_ms` or, if that
-/// is urgent, after a shorter time.
+/// due reports whether a worker should be called now: after `sync_ms`, or after
+/// URGENT_GAP_MS if it has runs to start or stop.
 fn due(now: Millis, page: &Rack, worker: &Worker, contact: &Contact, sync_ms: u64) -> bool {
     if contact.calling {
         return false;
@@ -97,7 +97,7 @@
     passed(sync_ms) || (passed(URGENT_GAP_MS) && urgent(page, worker, contact))
 }
 
-/// urgent tells whether a worker has runs to start or stop.
+/// urgent reports whether a worker has runs to start or stop.
 fn urgent(page: &Rack, worker: &Worker, contact: &Contact) -> bool {
     if contact.boot != worker.boot || contact.called.is_some_and(|at| at > contact.last_contact) {
         return false;
@@ -109,7 +109,8 @@
     })
 }
 
-/// probe asks a worker for its reply and has no effect there.
+/// probe returns a call that requests the worker's reply and changes nothing on
+/// it: without the boot it renews no lease.
 fn probe(call: &Call) -> Call {
     Call {
         boot: Boot::default(),
--- a/crates/stackpier-coordination/src/owner/commit.rs
+++ b/crates/stackpier-coordination/src/owner/commit.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The owner's commits: when the rack's page is written, and what follows.
+//! The owner's commits: when the rack's page is written, and what is sent
+//! afterwards.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +20,8 @@
     membership::Table,
 };
 
-/// WORKER_BREAKER takes a worker that fails what it starts out of placement.
+/// WORKER_BREAKER holds the options by which a worker whose runs fail is
+/// excluded from placement.
 const WORKER_BREAKER: breaker::Options = breaker::Options {
     failures: 3,
     pause_ms: 10_000,
@@ -27,8 +29,8 @@
 };
 
 impl Owner {
-    /// may_commit tells whether the interval between commits has passed, which
-    /// is shorter while urgent work waits.
+    /// may_commit reports whether the interval between commits has passed. It is
+    /// shorter while urgent work waits.
     pub(super) fn may_commit(&self, now: Millis) -> bool {
         let mut claimed = self.unwritten.iter().flat_map(|claims| &claims.claimed);
         let urgent = claimed.any(|home| home.work.urgent);
@@ -85,7 +87,8 @@
             return;
         };
         let Swapped::Won(revision) = swap else {
-            // Nothing is believed of an unclear write before it is read back.
+            // The swap lost, or its outcome is unknown: nothing is concluded from it
+            // before the page is read again.
             self.stale = true;
             self.unwritten.append(&mut self.writing);
             return;
@@ -96,7 +99,8 @@
         self.report_changes(now, &old, table, effects);
     }
 
-    /// report_changes tells what the page that was just written changed.
+    /// report_changes logs and reports what the page that was just written
+    /// changed, and begins a new term if this daemon took the rack over.
     fn report_changes(
         &mut self,
         now: Millis,
@@ -114,7 +118,7 @@
         }
     }
 
-    /// count_failures tells the workers' breakers how runs ended.
+    /// count_failures updates the workers' breakers with the outcomes of runs.
     fn count_failures(&mut self, now: Millis, ended: &[Row]) {
         for row in ended {
             let breaker = self.breakers.entry(row.worker);
@@ -127,7 +131,7 @@
         }
     }
 
-    /// begin_term forgets what was known under an earlier renewer.
+    /// begin_term discards what was known under an earlier term.
     fn begin_term(&mut self, now: Millis, term: u64, table: &Table, effects: &mut Vec<Effect>) {
         self.contacts.clear();
         self.expiring.clear();
@@ -140,8 +144,8 @@
     }
 }
 
-/// log_rows notes the runs that a page shows as committed or ended and the
-/// one before does not, and returns those that ended.
+/// log_rows logs the runs that are committed or ended in a page and were not in
+/// the `old` one, and returns those that ended.
 fn log_rows(page: &Rack, old: &Rack, effects: &mut Vec<Effect>) -> Vec<Row> {
     let mut ended = Vec::new();
     for row in &page.rows {
--- a/crates/stackpier-coordination/src/owner/contact.rs
+++ b/crates/stackpier-coordination/src/owner/contact.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the owner knows of a worker.
+//! The owner's state of its contact with a worker.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 
 use crate::{history::History, reaction::Watch};
 
-/// Contact is what the owner knows of one boot of a worker at first hand.
+/// Contact holds what the worker's own replies show of its current boot.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Contact {
     pub(super) boot: Boot,
@@ -21,7 +21,7 @@
     pub(super) called: Option<Millis>,
     pub(super) slowdown_milli: u32,
     pub(super) history: History,
-    /// Clock of the newest usage sample that was learnt from.
+    /// Clock of the newest usage sample that the model has observed.
     pub(super) sampled: Clock,
     pub(super) watch: Watch,
 }
--- a/crates/stackpier-coordination/src/owner/learn.rs
+++ b/crates/stackpier-coordination/src/owner/learn.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the owner learns from usage samples of how batch work slows services
+//! How the owner learns from usage samples how much batch work slows services
 //! down, and how it reacts.
 
 use std::collections::BTreeMap;
@@ -38,8 +38,8 @@
         }
     }
 
-    /// observe teaches the model all samples that are new, and returns the
-    /// worst.
+    /// observe updates the model with all new samples, and returns the sample with
+    /// the largest slowdown.
     fn observe(&mut self, worker: Name, rows: &[Row], usage: &[Usage]) -> Option<Victim> {
         let contact = self.contacts.get_mut(&worker)?;
         let mut worst: Option<Victim> = None;
@@ -65,7 +65,7 @@
         worst
     }
 
-    /// react decides what to do for the sake of a slowed service.
+    /// react decides what to do about the batch tasks beside a slowed service.
     fn react(&mut self, now: Millis, worker: Name, rows: &[Row], worst: Victim) -> Option<Action> {
         let suspect = |row: &Row| {
             let pair = Pair {
--- a/crates/stackpier-coordination/src/owner/messages.rs
+++ b/crates/stackpier-coordination/src/owner/messages.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the owner hears from placers and other daemons, and tells them.
+//! The owner's messages from and to placers and other daemons.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,8 +25,8 @@
         }
     }
 
-    /// receive_claims takes a placer's word, or reads its shard if the word is older than
-    /// what the page was settled by.
+    /// receive_claims stores a placer's message, or has its shard read if the
+    /// message is older than the revision that the page was settled by.
     pub(super) fn receive_claims(&mut self, claims: Claims) {
         let Some((_, page)) = &self.page else { return };
         if claims.revision < page.settled_by(claims.shard) {
@@ -36,8 +36,9 @@
         }
     }
 
-    /// differing returns the shards whose claims differ from the page's rows
-    /// even after their placers' words were taken: some word was lost.
+    /// differing returns the shards whose claims differ from the page's rows even
+    /// after their placers' messages were applied. In that case a message was
+    /// lost.
     pub(super) fn differing(&self, next: &Rack) -> BTreeSet<u16> {
         let mut sums = BTreeMap::new();
         for claims in &self.unwritten {
@@ -59,7 +60,8 @@
         differs.map(|(shard, _)| *shard).collect()
     }
 
-    /// ended_hints tells the placers of shards which of their runs ended.
+    /// ended_hints returns the hints that tell the placers of shards which of their
+    /// runs ended.
     pub(super) fn ended_hints<'a>(&self, rows: impl Iterator<Item = &'a Row>) -> Vec<Effect> {
         let mut by_shard: BTreeMap<u16, Vec<Ended>> = BTreeMap::new();
         for row in rows {
--- a/crates/stackpier-coordination/src/owner/read.rs
+++ b/crates/stackpier-coordination/src/owner/read.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The owner's reads: its rack's page, and shards of homes.
+//! The owner's reads of its rack's page and of shards of homes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,14 +16,14 @@
     membership::Table,
 };
 
-/// Reading collects shards of homes.
+/// Reading collects the shards of homes that are being read.
 #[derive(Clone, Debug)]
 pub(super) struct Reading {
     pub(super) waiting: BTreeSet<u16>,
     pub(super) got: Snapshots,
 }
 
-/// Snapshots are shards of homes with the revisions they were read at.
+/// Snapshots maps shards of homes to their pages and the revisions read.
 pub(super) type Snapshots = BTreeMap<u16, (Revision, homes::Shard)>;
 
 impl Owner {
@@ -45,7 +45,8 @@
         self.stale = false;
     }
 
-    /// adopt takes a newer page that another daemon may have written.
+    /// adopt replaces the page by a newer one, which another daemon may have
+    /// written.
     fn adopt(&mut self, now: Millis, revision: Revision, page: Rack, effects: &mut Vec<Effect>) {
         if self.page.as_ref().is_some_and(|(old, _)| *old > revision) {
             return;
@@ -59,7 +60,7 @@
             effects.push(Effect::Note(Note::GaveUp(self.rack, term)));
         }
         if renews && !self.renews() {
-            // A lost reply hid that our own take-over was written.
+            // This daemon's take-over was written, but the store's reply was lost.
             self.sole_since = page.former.is_empty().then_some((term, now));
             self.contacts.clear();
         }
--- a/crates/stackpier-coordination/src/owner/renewer.rs
+++ b/crates/stackpier-coordination/src/owner/renewer.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Which daemon renews the rack's leases, and since when no other can.
+//! Which daemon renews the rack's leases, and since when no other one can.
 
 use stackpier_core::Millis;
 use stackpier_protocol::peer::{Hint, Renounced};
@@ -9,14 +9,15 @@
 use crate::{effect::Effect, membership::Table};
 
 impl Owner {
-    /// renews tells whether this daemon is the rack's renewer, by the page it
-    /// last saw.
+    /// renews reports whether this daemon is the rack's renewer, according to the
+    /// page as last read or written.
     pub fn renews(&self) -> bool {
         let renewer = self.page.as_ref().and_then(|(_, page)| page.renewer);
         renewer.is_some_and(|renewer| renewer.boot == self.me.boot)
     }
 
-    /// renounced returns the promise not to renew, if one is due.
+    /// renounced returns the promise not to renew under earlier terms, if there is
+    /// one to send.
     pub fn renounced(&self) -> Option<Renounced> {
         self.renounced.map(|below| Renounced {
             rack: self.rack,
@@ -24,7 +25,8 @@
         })
     }
 
-    /// give_up lets another daemon take the rack over, for a planned stop.
+    /// give_up stops renewing, so that another daemon can take the rack over when
+    /// this one stops as planned.
     pub fn give_up(&mut self) {
         if let Some(renewer) = self.page().and_then(|page| page.renewer)
             && renewer.boot == self.me.boot
@@ -33,7 +35,8 @@
         }
     }
 
-    /// receive_renounced takes another daemon's promise not to renew.
+    /// receive_renounced records another daemon's promise not to renew under terms
+    /// before `below`.
     pub fn receive_renounced(&mut self, from: Member, below: u64) {
         let Some((_, page)) = &mut self.page else {
             return;
@@ -42,14 +45,16 @@
         page.former.retain(|old| !done(old));
     }
 
-    /// update_sole_since notes the moment from which no former renewer can renew.
+    /// update_sole_since drops former renewers that can no longer renew, and sets
+    /// the time since which none is left.
     pub(super) fn update_sole_since(&mut self, now: Millis, table: &Table) {
         let Some((_, page)) = &mut self.page else {
             return;
         };
         let gone = |old: &Renewer| table.gone(member(*old));
-        // What this very process sent under an earlier term quotes clock
-        // readings that it got before now, so it is no other renewer.
+        // Calls that this process sent under an earlier term carry clock readings
+        // that it received before now, so the leases they renew are over within a
+        // lease from now.
         let me = self.me.boot;
         page.former.retain(|old| old.boot != me && !gone(old));
         let Some(renewer) = page.renewer else { return };
@@ -61,8 +66,9 @@
         }
     }
 
-    /// receive_renewer has the page read again if it concerns this daemon: it may
-    /// have lost the rack, or won it by a swap whose answer was lost.
+    /// receive_renewer marks the page as stale if a newer term concerns this
+    /// daemon: it may have lost the rack, or won it by a swap whose answer was
+    /// lost.
     pub(super) fn receive_renewer(&mut self, renewer: Member, term: u64) {
         let known = self.page().and_then(|page| page.renewer);
         let newer = term > known.map_or(0, |renewer| renewer.term);
@@ -70,7 +76,7 @@
         self.stale |= newer && concerned;
     }
 
-    /// renewer_hint tells all daemons whom the page names as renewer.
+    /// renewer_hint returns the hint that tells all daemons the page's renewer.
     pub(super) fn renewer_hint(&self) -> Option<Effect> {
         let renewer = self.page()?.renewer?;
         Some(Effect::Hint(Hint::TakenOver {
@@ -81,7 +87,7 @@
     }
 }
 
-/// member returns the daemon that a renewer is.
+/// member returns the renewer's VM and boot.
 pub(super) fn member(renewer: Renewer) -> Member {
     Member {
         vm: renewer.vm,
--- a/crates/stackpier-coordination/src/owner/report.rs
+++ b/crates/stackpier-coordination/src/owner/report.rs
@@ -11,8 +11,8 @@
 use super::Owner;
 use crate::interference::MIN_REPORTED_EXCESS;
 
-/// MAX_MISSED_SYNCS is the count of missed calls after which a worker is offered
-/// no new tasks.
+/// MAX_MISSED_SYNCS is the number of intervals between calls without a reply
+/// after which a worker is offered no new tasks.
 const MAX_MISSED_SYNCS: u64 = 3;
 
 impl Owner {
--- a/crates/stackpier-coordination/src/owner/revise.rs
+++ b/crates/stackpier-coordination/src/owner/revise.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! How the rack's page is brought up to what the owner knows.
+//! Updates of the rack's page with what the owner knows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +18,7 @@
 };
 
 impl Owner {
-    /// revise brings a copy of the page up to what is known.
+    /// revise updates a copy of the page with what the owner knows.
     pub(super) fn revise(
         &self,
         now: Millis,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// revise_renewer takes the rack over if it has no living renewer.
+    /// revise_renewer takes the rack over if its renewer is not alive and this
+    /// daemon is preferred.
     pub(super) fn revise_renewer(&self, now: Millis, table: &Table, next: &mut Rack) {
         let alive = next
             .renewer
@@ -59,7 +60,7 @@
         }
     }
 
-    /// revise_workers brings the rack's workers in line with the list.
+    /// revise_workers updates the rack's workers from the platform's list.
     pub(super) fn revise_workers(&self, table: &Table, next: &mut Rack) {
         for vm in table.workers(self.rack) {
             if next.worker(vm.name).is_none() && vm.standing != Standing::Gone {
@@ -85,7 +86,7 @@
             .retain(|worker| worker.condition != Condition::Gone || used(worker.name));
     }
 
-    /// revise_contact records what a worker said, or that its lease lapsed.
+    /// revise_contact records what a worker reported, or that its lease expired.
     pub(super) fn revise_contact(
         &self,
         now: Millis,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// expired_runs returns the open runs on workers whose lease has lapsed.
+    /// expired_runs returns the open runs on workers whose lease has expired.
     pub(super) fn expired_runs(&self, now: Millis, page: &Rack) -> BTreeMap<Name, BTreeSet<Run>> {
         let expired = self
             .contacts
@@ -123,8 +124,8 @@
         expired.map(|(name, _)| (*name, runs(*name))).collect()
     }
 
-    /// expired tells whether every lease that anybody may have renewed at a
-    /// worker is over.
+    /// expired reports whether every lease that this daemon or a former renewer
+    /// may have renewed at a worker is over.
     pub(super) fn expired(&self, now: Millis, contact: &Contact) -> bool {
         let Some((_, sole)) = self.sole_since else {
             return false;
@@ -133,8 +134,8 @@
         now.since(last) > self.options.lease_ms + self.options.drift_ms
     }
 
-    /// settle_shard commits the claims of a shard, marks stops, and drops
-    /// ended rows whose home has moved on.
+    /// settle_shard commits the claims of a shard, marks stops, and drops ended
+    /// rows that their homes no longer claim here.
     pub(super) fn settle_shard(
         &self,
         now: Millis,
@@ -154,7 +155,7 @@
         next.drop_rows(shard, revision, moved);
     }
 
-    /// settle_claims does the same by a placer's word.
+    /// settle_claims does the same as settle_shard from a placer's message.
     pub(super) fn settle_claims(&self, now: Millis, claims: &Claims, next: &mut Rack) {
         if claims.revision < next.settled_by(claims.shard) {
             return;
--- a/crates/stackpier-coordination/src/placer.rs
+++ b/crates/stackpier-coordination/src/placer.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //! The placer of a shard of homes: keeps the homes in line with the accepted
-//! intents, claims places for waiting tasks, and moves tasks on whose runs
+//! intents, claims workers for waiting tasks, and releases homes whose runs
 //! ended.
 
 mod claim;
@@ -29,14 +29,15 @@
 
 use commit::Seen;
 
-/// Options are the times and counts a placer goes by.
+/// Options hold the times and counts of a placer.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Shortest time between two commits of the page, in milliseconds.
     pub commit_ms: u64,
-    /// Time between two looks at everything, hinted or not, in milliseconds.
+    /// Time between two sweeps, which find changes whose hints were lost, in
+    /// milliseconds.
     pub sweep_ms: u64,
-    /// Count of shards of homes in the data centre.
+    /// Number of shards of homes in the data centre.
     pub shards: u16,
     /// The choice of workers.
     pub policy: policy::Options,
@@ -53,13 +54,12 @@
     }
 }
 
-/// item returns what the choice of a shard's placer goes by, see
-/// [`Table::chosen`].
+/// item returns the item by which [`Table::chosen`] chooses a shard's placer.
 pub fn item(data_centre: Name, shard: u16) -> String {
     format!("homes/{data_centre}/{shard}")
 }
 
-/// View is what a placer sees beside its own page.
+/// View holds what a placer reads besides its own page.
 #[derive(Clone, Copy)]
 pub struct View<'a> {
     /// Daemons and workers.
@@ -78,10 +78,10 @@
     Swapping(Box<Shard>),
 }
 
-/// Ends are runs that ended on racks, and how.
+/// Ends maps runs that ended on racks to their outcomes.
 type Ends = BTreeMap<(Name, Run), Outcome>;
 
-/// Placer is the machine for one shard of a data centre's homes.
+/// Placer is the state machine for one shard of a data centre's homes.
 #[derive(Debug)]
 pub struct Placer {
     shard: u16,
@@ -90,21 +90,21 @@
     step: Step,
     /// Ended runs not yet written to the page.
     unwritten: Ends,
-    /// Those of them that the swap on its way writes.
+    /// Ended runs that the pending swap writes.
     writing: Ends,
     stale: bool,
     swept: Option<Millis>,
     committed: Option<Millis>,
-    /// The intents and the page that the last look was at.
+    /// Versions of the intents and the page at the last placement attempt.
     seen: Option<Seen>,
-    /// Whether tasks wait for a worker, and when that was tried last.
+    /// Time of the last placement attempt, if tasks still wait for a worker.
     waiting: Option<Millis>,
     /// Whether an accepted intent is urgent and may not be on the page yet.
     urgent: bool,
 }
 
 impl Placer {
-    /// new starts the machine for a shard with nothing known.
+    /// new returns the state machine for a shard, before its page is read.
     pub fn new(shard: u16, options: Options) -> Placer {
         Placer {
             shard,
@@ -127,7 +127,7 @@
         self.page.as_ref().map(|(_, page)| page)
     }
 
-    /// step takes one event and returns what to do.
+    /// step processes one event and returns the effects.
     pub fn step(
         &mut self,
         now: Millis,
@@ -172,7 +172,8 @@
         let item = item(view.table.data_centre(), self.shard);
         let mine = view.table.preferred(now, &item);
         if !mine {
-            // Another daemon normally does this; start afresh if that changes.
+            // Another daemon normally places this shard. The page is read again if
+            // that changes.
             if matches!(self.step, Step::Idle) {
                 self.stale = true;
             }
@@ -194,8 +195,8 @@
         self.try_swap(now, may_commit, view, writer, effects);
     }
 
-    /// update_urgent notes whether any accepted intent is urgent, if the intents
-    /// have changed since the last look.
+    /// update_urgent sets `urgent` to whether any accepted intent is urgent, if the
+    /// intents have changed since the last placement attempt.
     fn update_urgent(&mut self, catalogue: &Catalogue) {
         let changes = catalogue.changes();
         if self.seen.is_some_and(|seen| seen.changes == changes) {
@@ -205,8 +206,8 @@
         self.urgent = catalogue.objects().any(urgent);
     }
 
-    /// sweep reads the page again, and tells each rack the sum of its claims,
-    /// which shows a word that was lost.
+    /// sweep reads the page again, and sends each rack the sum of its claims, by
+    /// which the rack's owner notices a lost message.
     fn sweep(&mut self, now: Millis, view: View<'_>, effects: &mut Vec<Effect>) {
         let due = |at| now.since(at) >= self.options.sweep_ms;
         if self.swept.is_some_and(|at| !due(at)) {
@@ -225,7 +226,7 @@
         for rack in view.table.racks() {
             self.claims(&mut racks, rack);
         }
-        // The sum does not show stops, so they are told again until done.
+        // The sum does not cover stops, so they are sent again until they are done.
         let claimed = page
             .homes
             .iter()
--- a/crates/stackpier-coordination/src/placer/claim.rs
+++ b/crates/stackpier-coordination/src/placer/claim.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The claim of workers for the waiting tasks of a shard: what the owners of
-//! racks report, less what is claimed on the way, goes to the choice in
-//! [`crate::policy`].
+//! The claim of workers for the waiting tasks of a shard. The choice in
+//! [`crate::policy`] is made from the free capacity that the owners of racks
+//! report, less what this placement attempt has claimed.
 
 use std::collections::BTreeMap;
 
@@ -57,7 +57,8 @@
     }
 }
 
-/// Order sorts waiting tasks: services, then priority, then deadline.
+/// Order is the sort key of waiting tasks: services first, then the highest
+/// priority, then the earliest deadline.
 type Order = (bool, u16, u64, key::Task);
 
 fn order(catalogue: &Catalogue, home: &Home) -> Order {
@@ -71,7 +72,8 @@
     (batch, u16::MAX - priority, deadline, home.work.task)
 }
 
-/// Offer is a candidate with the tasks of this shard already on it.
+/// Offer is a candidate with the intents of this shard's tasks on it and the
+/// services that run on it.
 struct Offer {
     candidate: Candidate,
     names: Vec<Name>,
@@ -113,11 +115,11 @@
     offers
 }
 
-/// Excess is the slowdown that pairs are known for, in thousandths.
+/// Excess maps pairs to the slowdown that the batch job adds, in thousandths.
 type Excess = BTreeMap<Pair, u32>;
 
-/// excess joins what the owners of racks have learnt; of two estimates of a
-/// pair the more certain one counts.
+/// excess combines the estimates of the owners of racks. Of two estimates of a
+/// pair the one with the smaller deviation is used.
 fn excess(view: View<'_>) -> Excess {
     let mut best: BTreeMap<Pair, PairReport> = BTreeMap::new();
     for report in view.racks.values().flat_map(|report| &report.pairs) {
@@ -144,7 +146,8 @@
     here.map(|endpoint| endpoint.service).collect()
 }
 
-/// same fills in how many tasks of the same intent each candidate has.
+/// same returns the candidates with what depends on the task: the slowdown that
+/// it adds, and how many tasks of the same intent are on the worker and rack.
 fn same(offers: &[Offer], excess: &Excess, work: &Work) -> Vec<Candidate> {
     let count = |offer: &Offer| {
         offer
--- a/crates/stackpier-coordination/src/placer/commit.rs
+++ b/crates/stackpier-coordination/src/placer/commit.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The placer's commits: when the shard's page is written, and what follows.
+//! The placer's commits: when the shard's page is written, and what is sent
+//! afterwards.
 
 use stackpier_core::Millis;
 use stackpier_state::{
@@ -14,7 +15,8 @@
     interval::interval_ms,
 };
 
-/// Seen is what a look at the shard went by.
+/// Seen holds the versions of the intents and of the page at a placement
+/// attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Seen {
     pub(super) changes: u64,
@@ -22,8 +24,8 @@
 }
 
 impl Placer {
-    /// interval_ms is the shortest time between two commits, in milliseconds:
-    /// shorter while urgent work waits.
+    /// interval_ms returns the shortest time between two commits, in milliseconds.
+    /// It is shorter while urgent work waits.
     pub(super) fn interval_ms(&self) -> u64 {
         let waits = |home: &Home| home.work.urgent && home.place == Place::Pending;
         let urgent = self.page().is_some_and(|page| page.homes.iter().any(waits));
@@ -82,7 +84,8 @@
             return;
         };
         let Swapped::Won(revision) = swap else {
-            // Nothing is believed of an unclear write before it is read back.
+            // The swap lost, or its outcome is unknown: nothing is concluded from it
+            // before the page is read again.
             self.stale = true;
             self.seen = None;
             self.unwritten.append(&mut self.writing);
@@ -94,7 +97,7 @@
     }
 }
 
-/// release moves homes on whose claimed run has ended on its rack's page.
+/// release frees the homes whose claimed run has ended on its rack's page.
 fn release(ends: &Ends, next: &mut Shard) {
     if ends.is_empty() {
         return;
--- a/crates/stackpier-coordination/src/placer/messages.rs
+++ b/crates/stackpier-coordination/src/placer/messages.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the placer tells racks of their claims.
+//! The placer's messages to racks about their claims.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use crate::effect::{Effect, Note};
 
 impl Placer {
-    /// send_changes tells each rack what changed of its claims.
+    /// send_changes sends each rack the changes of its claims since the `old` page.
     pub(super) fn send_changes(&self, old: &Shard, effects: &mut Vec<Effect>) {
         let Some((_, page)) = &self.page else { return };
         let before: BTreeMap<key::Task, &Home> = old
@@ -43,7 +43,7 @@
         self.send_claims(racks, effects);
     }
 
-    /// claims returns the word to a rack, made on first use.
+    /// claims returns the message to a rack, created on first use.
     pub(super) fn claims<'a>(
         &self,
         racks: &'a mut BTreeMap<Name, Claims>,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// send_claims fills in the sums and sends the words.
+    /// send_claims adds the sums and sends the messages.
     pub(super) fn send_claims(&self, racks: BTreeMap<Name, Claims>, effects: &mut Vec<Effect>) {
         let Some((_, page)) = &self.page else { return };
         for (rack, mut claims) in racks {
--- a/crates/stackpier-coordination/src/placer/wanted.rs
+++ b/crates/stackpier-coordination/src/placer/wanted.rs
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The tasks that accepted intents want, and the homes brought in line with
-//! them.
+//! Reconciles the homes of a shard with the tasks that accepted intents want.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +14,7 @@
 use super::{Placer, View};
 
 impl Placer {
-    /// reconcile makes homes for wanted tasks and marks those no longer
+    /// reconcile adds homes for wanted tasks and marks those that are no longer
     /// wanted.
     pub(super) fn reconcile(&self, view: View<'_>, next: &mut Shard) {
         let data_centre = view.table.data_centre();
@@ -54,7 +53,7 @@
     }
 }
 
-/// work returns what a worker needs to know of a task.
+/// work returns the description of a task that its worker receives.
 fn work(object: &Object, task: key::Task) -> Work {
     let (class, run_time_ms) = match &object.intent.kind {
         Kind::Service(_) => (Class::Service, 0),
@@ -71,13 +70,14 @@
     }
 }
 
-/// superseded tells whether a later job has taken the name of a home's job.
+/// superseded reports whether a later job uses the name of a home's job.
 fn superseded(catalogue: &Catalogue, home: &Home) -> bool {
     let object = catalogue.object(home.work.name);
     object.is_some_and(|object| object.generation > home.work.generation)
 }
 
-/// update_home brings a home in line with its intent.
+/// update_home brings a home in line with its intent. A service that was
+/// cancelled starts again as a new attempt.
 fn update_home(home: &mut Home, work: Work) {
     home.unwanted = false;
     match home.place {
@@ -91,7 +91,7 @@
     }
 }
 
-/// cancel_home ends a waiting task and asks to stop a claimed one.
+/// cancel_home ends a waiting task, and requests the stop of a claimed one.
 fn cancel_home(home: &mut Home) {
     home.unwanted = true;
     match &mut home.place {
--- a/crates/stackpier-coordination/src/policy.rs
+++ b/crates/stackpier-coordination/src/policy.rs
@@ -8,25 +8,26 @@
 /// work avoids a worker.
 pub const SLOW_MILLI: u32 = 1_250;
 
-/// EXCESS_STEP_MILLI is the difference of added slowdown, in thousandths, below
-/// which two workers count as equal for batch work.
+/// EXCESS_STEP_MILLI is the step, in thousandths, to which added slowdown is
+/// rounded down when workers are compared for batch work.
 const EXCESS_STEP_MILLI: u32 = 100;
 
-/// Candidate is a worker that takes tasks, as last reported.
+/// Candidate is a worker that accepts tasks, as last reported.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// The rack.
     pub rack: Name,
     /// The worker.
     pub worker: Name,
-    /// What it offers in all.
+    /// Its total capacity.
     pub capacity: Size,
-    /// What is left, claims on their way included.
+    /// Free capacity as reported, less what this placement attempt has claimed.
     pub free: Size,
     /// Slowdown of the services on it, in thousandths.
     pub slowdown_milli: u32,
-    /// Slowdown that the task would add to the services on it, as far as its
-    /// job is known beside them, in thousandths.
+    /// Slowdown that the task is expected to add to the services on it, in
+    /// thousandths, summed over the pairs of its job and a service that have an
+    /// estimate.
     pub excess_milli: u32,
     /// Tasks of the same intent on the rack.
     pub same_on_rack: u32,
@@ -34,12 +35,12 @@
     pub same_on_worker: u32,
 }
 
-/// Options weigh the two users' measures against each other.
+/// Options balance the tail latency of services against batch throughput.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Batch work waits rather than add more slowdown than this to the services
-    /// of a worker, in thousandths. A low limit favours tail latency, a high
-    /// one batch throughput.
+    /// Largest slowdown, in thousandths, that batch work may add to the services
+    /// of a worker; it waits rather than add more. A low limit favours tail
+    /// latency, a high one batch throughput.
     pub max_excess_milli: u32,
 }
 
@@ -51,10 +52,11 @@
     }
 }
 
-/// choose returns the best candidate that has room, if any has.
+/// choose returns the best candidate that the task fits on, if there is one.
 ///
 /// Services spread over racks and workers and take the emptiest. Batch work
-/// fills the fullest worker that its services can bear.
+/// takes only workers whose services it slows down within the limit, prefers
+/// those that it slows down least, and among equals takes the fullest.
 pub fn choose(work: &Work, candidates: &[Candidate], options: Options) -> Option<Candidate> {
     let acceptable = |candidate: &&Candidate| {
         work.class == Class::Service || candidate.excess_milli <= options.max_excess_milli
--- a/crates/stackpier-coordination/src/queue.rs
+++ b/crates/stackpier-coordination/src/queue.rs
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A bounded queue of requests, the earliest deadline first.
+//! A bounded queue of requests, ordered by earliest deadline.
 
 use std::collections::BTreeMap;
 
 use stackpier_core::Millis;
 
-/// Ticket names one waiting request.
+/// Ticket identifies one waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
@@ -17,7 +17,7 @@
 }
 
 impl Queue {
-    /// new makes an empty queue for at most `bound` tickets.
+    /// new returns an empty queue for at most `bound` tickets.
     pub fn new(bound: usize) -> Queue {
         Queue {
             bound,
@@ -25,12 +25,13 @@
         }
     }
 
-    /// ahead returns how many tickets would be served before this deadline.
+    /// ahead returns how many tickets would be served before a new one with this
+    /// deadline.
     pub fn ahead(&self, deadline: Millis) -> usize {
         self.waiting.range(..=(deadline, Ticket(u64::MAX))).count()
     }
 
-    /// push adds a ticket, unless the queue is full.
+    /// push adds a ticket and returns whether the queue had space for it.
     pub fn push(&mut self, deadline: Millis, ticket: Ticket) -> bool {
         if self.waiting.len() >= self.bound {
             return false;
@@ -39,22 +40,22 @@
         true
     }
 
-    /// pop takes the ticket with the earliest deadline.
+    /// pop removes and returns the ticket with the earliest deadline.
     pub fn pop(&mut self) -> Option<Ticket> {
         self.waiting.pop_first().map(|((_, ticket), ())| ticket)
     }
 
-    /// remove takes a ticket out and returns whether it was there.
+    /// remove deletes a ticket and returns whether it was queued.
     pub fn remove(&mut self, deadline: Millis, ticket: Ticket) -> bool {
         self.waiting.remove(&(deadline, ticket)).is_some()
     }
 
-    /// len returns the count of tickets.
+    /// len returns the number of tickets.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// is_empty tells whether nobody waits.
+    /// is_empty reports whether no ticket is queued.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/crates/stackpier-coordination/src/reaction.rs
+++ b/crates/stackpier-coordination/src/reaction.rs
@@ -1,29 +1,29 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What to do about a worker whose services are slowed down: throttle the
-//! worst neighbour, then evict it, with hysteresis and a budget of evictions.
+//! The reaction to slowed services on a worker: throttle the worst neighbour,
+//! then evict it, with hysteresis and a budget of evictions.
 
 use std::collections::BTreeSet;
 
 use stackpier_core::Millis;
 use stackpier_state::work::Run;
 
-/// Options are the thresholds and budgets of reactions.
+/// Options hold the thresholds and budgets of reactions.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Slowdown above which a sample is a breach.
     pub high: f64,
     /// Slowdown below which a sample is calm.
     pub low: f64,
-    /// Breaches in a row before a neighbour is throttled, and again before it
-    /// is evicted.
+    /// Consecutive breaches after which a neighbour is throttled, and as many
+    /// again after which it is evicted.
     pub breaches: u32,
-    /// Calm samples in a row before a throttled neighbour is released.
+    /// Consecutive calm samples after which a throttled neighbour is released.
     pub calms: u32,
-    /// Least excess a neighbour must be blamed for to be evicted.
+    /// Smallest estimated excess for which a neighbour is throttled or evicted.
     pub min_blame: f64,
     /// Time in which a rack earns one eviction, in milliseconds.
     pub eviction_ms: u64,
-    /// Evictions a rack can save up.
+    /// Most evictions that a rack can accumulate.
     pub evictions: u32,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Budget bounds the evictions of one rack.
+/// Budget limits the evictions of one rack.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     options: Options,
@@ -50,7 +50,7 @@
 }
 
 impl Budget {
-    /// new starts with all that can be saved up.
+    /// new returns a full budget.
     pub fn new(options: Options) -> Budget {
         Budget {
             options,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// spend takes one eviction, if one is there.
+    /// spend takes one eviction and returns whether one was available.
     pub fn spend(&mut self, now: Millis) -> bool {
         let earned = now.since(self.at) as f64 / self.options.eviction_ms as f64;
         self.saved = (self.saved + earned).min(f64::from(self.options.evictions));
@@ -72,27 +72,27 @@
     }
 }
 
-/// Suspect is a batch task beside a slowed service.
+/// Suspect is a batch task on the worker of a slowed service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Suspect {
     /// The task's run.
     pub run: Run,
-    /// Excess it is blamed for.
+    /// Excess that it is estimated to cause.
     pub blame: f64,
 }
 
 /// Action is what to do with one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Let it run slower.
+    /// Slow it down.
     Throttle(Run),
-    /// Let it run as before.
+    /// Let it run at full speed again.
     Release(Run),
     /// Checkpoint it, stop it, and place it elsewhere.
     Evict(Run),
 }
 
-/// Watch is the state of one worker.
+/// Watch holds the counts of samples and the throttled runs of one worker.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     breaches: u32,
@@ -101,12 +101,12 @@
 }
 
 impl Watch {
-    /// throttled returns the runs that are to run slower.
+    /// throttled returns the throttled runs.
     pub fn throttled(&self) -> &BTreeSet<Run> {
         &self.throttled
     }
 
-    /// sample takes the worst slowdown of the worker's services and the batch
+    /// sample processes the worst slowdown of the worker's services and the batch
     /// tasks that may cause it, and returns what to do.
     pub fn sample(
         &mut self,
--- a/crates/stackpier-coordination/src/retry.rs
+++ b/crates/stackpier-coordination/src/retry.rs
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The retry budget: retries stay a set share of the requests that succeed.
+//! The retry budget: retries are limited to a share of the requests that
+//! succeed.
 
-/// Options are the shares a budget goes by.
+/// Options hold the rates of a retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Retries earned by one success, in thousandths.
     pub share_milli: u32,
-    /// Retries that can be saved up.
+    /// Most retries that can accumulate.
     pub reserve: u32,
 }
 
@@ -19,10 +20,10 @@
     }
 }
 
-/// COST is the price of one retry, in thousandths.
+/// COST is what one retry takes from the budget, in thousandths.
 const COST: u32 = 1_000;
 
-/// Budget is a bucket of retries that successes fill.
+/// Budget is a token bucket of retries that successes fill.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     options: Options,
@@ -30,7 +31,7 @@
 }
 
 impl Budget {
-    /// new starts with a full reserve.
+    /// new returns a budget with a full reserve.
     pub fn new(options: Options) -> Budget {
         Budget {
             options,
@@ -38,13 +39,13 @@
         }
     }
 
-    /// record_success earns a share of a retry.
+    /// record_success adds a share of a retry.
     pub fn record_success(&mut self) {
         let full = self.options.reserve * COST;
         self.milli = (self.milli + self.options.share_milli).min(full);
     }
 
-    /// spend takes one retry, if one is there.
+    /// spend takes one retry and returns whether one was available.
     pub fn spend(&mut self) -> bool {
         if self.milli < COST {
             return false;
--- a/crates/stackpier-coordination/src/route.rs
+++ b/crates/stackpier-coordination/src/route.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The choice of an upstream for a request, per service: the lowest expected
-//! time to an answer by load and latency, within per-upstream limits, behind a
-//! bounded queue.
+//! The choice of an upstream for a request, per service: the one with the lowest
+//! expected time to an answer, by load and latency, within a limit for each
+//! upstream and behind a bounded queue.
 
 mod cost;
 mod router;
@@ -14,14 +14,14 @@
 pub use service::Service;
 pub use upstream::{Key, Upstream};
 
-/// Options are the bounds and shares routing goes by.
+/// Options hold the bounds and shares of routing.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Limits on requests in flight.
+    /// Limits on requests in flight to an upstream.
     pub limit: limit::Options,
-    /// Ejection.
+    /// Ejection of upstreams that fail.
     pub breaker: breaker::Options,
-    /// Retries.
+    /// Budget of retries.
     pub retry: retry::Options,
     /// Most requests that wait for one service.
     pub queue: usize,
@@ -32,14 +32,14 @@
     /// Latency assumed of an upstream that has not answered yet, in
     /// milliseconds.
     pub assumed_ms: f64,
-    /// Longest expected wait for a slot, in milliseconds; a longer queue only
-    /// adds delay.
+    /// Longest expected wait for a slot, in milliseconds. Requests that would wait
+    /// longer are shed, as a longer queue only adds delay.
     pub longest_wait_ms: u64,
     /// Latencies up to this many times the median count as the median, so that
-    /// chance does not steer.
+    /// random variation doesn't affect the choice.
     pub noise: f64,
-    /// Time in which what is known of an unused upstream's latency loses half
-    /// its weight, in milliseconds.
+    /// Time after which the measured latency and success of an unused upstream
+    /// have half their weight, in milliseconds.
     pub half_life_ms: f64,
 }
 
@@ -63,28 +63,29 @@
 /// Outcome is how a request to an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer came.
+    /// The whole answer arrived.
     Answered,
-    /// The upstream refused for want of a slot; it did not run.
+    /// The upstream refused because it had no free slot; the request did not run.
     Busy,
-    /// The upstream could not be reached or does not run the task; it did not
-    /// run.
+    /// The upstream could not be reached or does not run the task; the request
+    /// did not run.
     Refused,
-    /// No whole answer came; it may have run.
+    /// The whole answer did not arrive; the request may have run.
     Broken,
-    /// The caller's time ran out first, which says little of the upstream.
+    /// The caller's deadline passed first, which indicates little about the
+    /// upstream.
     TimedOut,
 }
 
 /// Choice is what to do with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choice {
-    /// Send it to this upstream, which counts it as in flight.
+    /// Send it to this upstream, where it already counts as in flight.
     Send(Key),
     /// Wait for a slot; see [`Service::freed`].
     Wait,
-    /// The wait would pass the deadline. Coming back helps after this many
-    /// milliseconds.
+    /// The queue is full, or the wait would be too long or pass the deadline. A
+    /// retry makes sense after this many milliseconds.
     Shed(u64),
     /// The service has no upstream.
     NoUpstream,
--- a/crates/stackpier-coordination/src/route/cost.rs
+++ b/crates/stackpier-coordination/src/route/cost.rs
@@ -1,19 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The expected time to an answer, by which a service's upstreams are compared.
+//! The expected time to an answer, by which the upstreams of a service are
+//! compared.
 
 use rand::{Rng, RngExt};
 use stackpier_core::Millis;
 
 use super::{Key, Service, Upstream};
 
-/// MIN_SUCCESS is the lowest share of successes that costs are reckoned with.
+/// MIN_SUCCESS is the lowest share of successes that costs are computed with.
 const MIN_SUCCESS: f64 = 0.01;
-/// MIN_WEIGHT is the weight below which old knowledge counts for nothing.
+/// MIN_WEIGHT is the weight below which old measurements are ignored.
 const MIN_WEIGHT: f64 = 0.05;
 
 impl Service {
-    /// cheapest returns the upstream with the lowest cost; of equal ones it
-    /// takes any, so that entry VMs don't all take the same.
+    /// cheapest returns the upstream with the lowest cost. Among equal ones it
+    /// chooses at random, so that entry VMs don't all choose the same.
     pub(super) fn cheapest<R: Rng>(&self, now: Millis, pool: &[Key], rng: &mut R) -> Option<Key> {
         if pool.is_empty() {
             return None;
@@ -27,9 +28,9 @@
         })
     }
 
-    /// cost is the expected time to an answer. An upstream that fails fast is
-    /// dear, not cheap; what is known of one that is not used fades, so that it
-    /// is tried again.
+    /// cost returns the expected time to an answer. Failures raise it, so that an
+    /// upstream that fails fast does not look cheap. Measurements of an unused
+    /// upstream lose weight with age, so that it is tried again.
     fn cost(&self, now: Millis, median: f64, key: Key) -> f64 {
         self.upstreams.get(key).map_or(f64::MAX, |upstream| {
             let age = now.since(upstream.measured) as f64;
@@ -42,9 +43,9 @@
         })
     }
 
-    /// estimated_ms returns an upstream's latency in milliseconds, as far as it
-    /// tells: noise counts as the median, and old samples count with their
-    /// `weight`.
+    /// estimated_ms returns an upstream's estimated latency in milliseconds. The
+    /// measured one counts with `weight`, and a latency within the noise counts
+    /// as the median.
     fn estimated_ms(&self, weight: f64, median: f64, upstream: &Upstream) -> f64 {
         let latency = median + (upstream.latency_ms - median) * weight;
         match latency <= median * self.options.noise {
--- a/crates/stackpier-coordination/src/route/router.rs
+++ b/crates/stackpier-coordination/src/route/router.rs
@@ -16,7 +16,7 @@
 }
 
 impl Router {
-    /// new starts with no service.
+    /// new returns a router without services.
     pub fn new(options: Options) -> Router {
         Router {
             options,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// service returns the state of a service, made on first use.
+    /// service returns the state of a service, created on first use.
     pub fn service(&mut self, name: Name) -> &mut Service {
         let options = self.options;
         self.services
@@ -32,7 +32,7 @@
             .or_insert_with(|| Service::new(options))
     }
 
-    /// update takes all endpoints there are now.
+    /// update replaces the upstreams of all services by the current endpoints.
     pub fn update(&mut self, endpoints: &[Endpoint]) {
         let mut by_service: BTreeMap<Name, Vec<Endpoint>> = BTreeMap::new();
         for endpoint in endpoints {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// names returns the services with any state.
+    /// names returns the services that have state.
     pub fn names(&self) -> impl Iterator<Item = Name> {
         self.services.keys().copied()
     }
--- a/crates/stackpier-coordination/src/route/service.rs
+++ b/crates/stackpier-coordination/src/route/service.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The routing state of one service: who gets a request, who waits, and what
-//! outcomes teach.
+//! The routing state of one service: assigns requests to upstreams, queues them,
+//! and updates the estimates from their outcomes.
 
 use rand::Rng;
 use stackpier_core::{Millis, Name, arena::Arena};
@@ -26,7 +26,7 @@
 }
 
 impl Service {
-    /// new starts with no upstream.
+    /// new returns the state of a service without upstreams.
     pub fn new(options: Options) -> Service {
         Service {
             options,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// update takes the upstreams that are there now and keeps what is known
-    /// of those that stay.
+    /// update sets the current upstreams and keeps the measurements of those that
+    /// stay.
     pub fn update(&mut self, endpoints: &[Endpoint]) {
         let stays = |key: &Key| {
             let upstream = self.upstreams.get(*key);
@@ -62,28 +62,28 @@
         }
     }
 
-    /// upstream returns the upstream behind a key, unless it is gone.
+    /// upstream returns the upstream with this key, unless it was removed.
     pub fn upstream(&self, key: Key) -> Option<&Upstream> {
         self.upstreams.get(key)
     }
 
-    /// len returns the count of upstreams.
+    /// len returns the number of upstreams.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// is_empty tells whether there is no upstream.
+    /// is_empty reports whether there is no upstream.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// waiting returns the count of requests in the queue.
+    /// waiting returns the number of requests in the queue.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// arrive decides on a request that has just come. `avoid` names upstreams
-    /// it was sent to before.
+    /// arrive decides on a request that has just arrived. `avoid` names the
+    /// workers that it was sent to before; they are used only if no other accepts.
     pub fn arrive<R: Rng>(
         &mut self,
         now: Millis,
@@ -109,12 +109,12 @@
         Choice::Wait
     }
 
-    /// leave takes a request out of the queue whose deadline has passed.
+    /// leave removes a request from the queue, as its deadline has passed.
     pub fn leave(&mut self, deadline: Millis, ticket: Ticket) {
         self.queue.remove(deadline, ticket);
     }
 
-    /// freed gives free slots to waiting requests.
+    /// freed assigns free slots to waiting requests.
     pub fn freed<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<(Ticket, Key)> {
         let mut given = Vec::new();
         while !self.queue.is_empty() {
@@ -129,15 +129,14 @@
         given
     }
 
-    /// cancel takes back a slot that was given and not used.
+    /// cancel frees a slot that was assigned and not used.
     pub fn cancel(&mut self, key: Key) {
         if let Some(upstream) = self.upstreams.get_mut(key) {
             upstream.in_flight = upstream.in_flight.saturating_sub(1);
         }
     }
 
-    /// done takes the outcome of a request that was sent, after a time in
-    /// milliseconds.
+    /// done records the outcome of a request that was sent and how long it took.
     pub fn done(&mut self, now: Millis, key: Key, took_ms: u64, outcome: Outcome) {
         let may_eject = self.may_eject();
         let smoothing = self.options.smoothing;
@@ -151,7 +150,8 @@
         }
     }
 
-    /// may_retry takes a retry from the budget.
+    /// may_retry takes a retry from the budget and returns whether one was
+    /// available.
     pub fn may_retry(&mut self) -> bool {
         self.budget.spend()
     }
@@ -168,7 +168,7 @@
         ahead * self.holding_ms / slots.max(1.0)
     }
 
-    /// may_eject tells whether one more upstream may be left out.
+    /// may_eject reports whether one more upstream may be ejected.
     fn may_eject(&self) -> bool {
         let open = |upstream: &&Upstream| upstream.breaker.state() != State::Closed;
         let ejected = self.upstreams.values().filter(open).count() + 1;
--- a/crates/stackpier-coordination/src/route/upstream.rs
+++ b/crates/stackpier-coordination/src/route/upstream.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What is known of one upstream.
+//! The measurements and limits of one upstream.
 
 use stackpier_core::{Millis, arena::Index};
 use stackpier_protocol::peer::Endpoint;
@@ -14,19 +14,18 @@
     pub endpoint: Endpoint,
     pub(super) in_flight: u32,
     pub(super) latency_ms: f64,
-    /// When it last answered or failed.
+    /// When it last answered, failed or timed out.
     pub(super) measured: Millis,
     pub(super) success: f64,
     pub(super) limit: Limit,
     pub(super) breaker: Breaker,
 }
 
-/// Key points to an upstream of one service.
+/// Key identifies an upstream of one service.
 pub type Key = Index<Upstream>;
 
 impl Upstream {
-    /// new starts with nothing in flight and an assumed latency in
-    /// milliseconds.
+    /// new returns an upstream with nothing in flight and an assumed latency.
     pub(super) fn new(endpoint: Endpoint, latency_ms: f64, options: &Options) -> Upstream {
         Upstream {
             endpoint,
@@ -39,12 +38,12 @@
         }
     }
 
-    /// accepts tells whether a request may be sent here now.
+    /// accepts reports whether a request may be sent to this upstream now.
     pub(super) fn accepts(&self, now: Millis) -> bool {
         self.limit.allows(self.in_flight) && self.breaker.ready(now)
     }
 
-    /// done takes the outcome of a request, after a time in milliseconds.
+    /// done records the outcome of a request and how long it took.
     pub(super) fn done(
         &mut self,
         now: Millis,
@@ -63,7 +62,8 @@
                 self.breaker.record_success();
             }
             Outcome::Busy => {
-                // It is alive, so a probe that meets it has done its work.
+                // The upstream is alive, so a probe that is refused as busy closes
+                // the breaker.
                 self.limit.record_refusal();
                 self.breaker.record_success();
             }
--- a/crates/stackpier-coordination/tests/reaction.rs
+++ b/crates/stackpier-coordination/tests/reaction.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What is learnt of pairs, and what is done about slowed services.
+//! Tests of the interference estimates and of the reaction to slowed services.
 
 use std::collections::BTreeMap;
 
@@ -49,10 +49,12 @@
         });
     }
     let mean = |neighbour| model.estimate(Pair { victim, neighbour }).mean;
-    // The truth is 1.0; the filter is within a fifth after twenty samples.
+    // The true excess is 1.0; after twenty samples the estimate is within a fifth
+    // of it.
     assert!((0.8..1.2).contains(&mean(noisy)), "{}", mean(noisy));
-    // Some blame of the first joint samples stays with the quiet one for long,
-    // as the filter keeps no covariance; it must stay below what is told.
+    // The first samples with both neighbours raise the estimate of the quiet one
+    // too, and for long, as the filter keeps no covariance. It must stay below
+    // what is reported to placers.
     assert!(mean(quiet) < MIN_REPORTED_EXCESS, "{}", mean(quiet));
     let told: Vec<Name> = model
         .report(MIN_REPORTED_EXCESS)
--- a/crates/stackpier-coordination/tests/route.rs
+++ b/crates/stackpier-coordination/tests/route.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The choice of an upstream, step by step.
+//! Tests of the choice of an upstream, one request at a time.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 use stackpier_protocol::peer::Endpoint;
 use stackpier_state::work::Run;
 
-/// DEADLINE is far off in all tests that do not say otherwise.
+/// DEADLINE is a deadline that no request of these tests reaches.
 const DEADLINE: Millis = Millis(60_000);
 
 fn name(text: &str) -> Name {
@@ -76,7 +76,7 @@
             .map_or(u32::MAX, |found| found.endpoint.run.task.index)
     }
 
-    /// exchange sends one request; the first upstream refuses it at once, the
+    /// exchange sends one request. The first upstream refuses it after 1 ms, the
     /// others answer after 20 ms.
     fn exchange(&mut self) -> u32 {
         let key = self.send();
