--- a/crates/stackpier-coordination/src/accept.rs
+++ b/crates/stackpier-coordination/src/accept.rs
@@ -18,7 +18,8 @@
 
 use crate::effect::Writer;
 
-/// MAX_ROUNDS is how often a change is tried while other writers change the page.
+/// MAX_ROUNDS is how often a change is tried while other writers change the
+/// page.
 pub const MAX_ROUNDS: u32 = 40;
 
 /// Wanted is what the operator requests.
@@ -35,8 +36,8 @@
 pub struct Change {
     /// Id of the submission, by which a repeat is recognised.
     pub submission: u128,
-    /// The version that the operator saw: `None` accepts any, zero requires that
-    /// the intent does not exist.
+    /// The version that the operator saw: `None` accepts any, zero requires
+    /// that the intent does not exist.
     pub expect: Option<u64>,
     /// The request.
     pub wanted: Wanted,
@@ -51,8 +52,8 @@
         }
     }
 
-    /// apply makes the change on a copy of a page. It returns `None` if the page
-    /// has this submission already.
+    /// apply makes the change on a copy of a page. It returns `None` if the
+    /// page has this submission already.
     pub fn apply(&self, page: &Shard) -> Result<Option<Shard>> {
         let old = page.object(self.name());
         if old.is_some_and(|old| old.submissions.contains(&self.submission)) {
--- a/crates/stackpier-coordination/src/breaker.rs
+++ b/crates/stackpier-coordination/src/breaker.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A circuit breaker: ejects an upstream that fails, and probes it after a pause
-//! that doubles with each ejection.
+//! A circuit breaker: ejects an upstream that fails, and probes it after a
+//! pause that doubles with each ejection.
 
 use stackpier_core::Millis;
 
--- a/crates/stackpier-coordination/src/history.rs
+++ b/crates/stackpier-coordination/src/history.rs
@@ -16,7 +16,8 @@
     states: VecDeque<State>,
 }
 
-/// State holds the batch tasks that ran from a reading of the worker's clock on.
+/// State holds the batch tasks that ran from a reading of the worker's clock
+/// on.
 #[derive(Clone, Debug)]
 struct State {
     since: Clock,
@@ -24,7 +25,8 @@
 }
 
 impl History {
-    /// record stores what runs at a reading of the worker's clock, if it changed.
+    /// record stores what runs at a reading of the worker's clock, if it
+    /// changed.
     pub fn record(&mut self, now: Clock, batch: BTreeMap<Name, u32>) {
         if self.states.back().is_some_and(|last| last.batch == batch) {
             return;
--- a/crates/stackpier-coordination/src/interference.rs
+++ b/crates/stackpier-coordination/src/interference.rs
@@ -12,11 +12,11 @@
 use stackpier_core::Name;
 use stackpier_protocol::peer::PairReport;
 
-/// MIN_REPORTED_EXCESS is the smallest excess of a pair that is
-/// reported to placers.
+/// MIN_REPORTED_EXCESS is the smallest excess of a pair that is reported
+/// to placers.
 pub const MIN_REPORTED_EXCESS: f64 = 0.1;
-/// MIN_LOAD is the smallest load that a sample is weighted with, so that an idle
-/// service counts too.
+/// MIN_LOAD is the smallest load that a sample is weighted with, so that an
+/// idle service counts too.
 const MIN_LOAD: f64 = 0.1;
 /// MILLI is the number of thousandths in a unit.
 const MILLI: f64 = 1_000.0;
@@ -31,8 +31,8 @@
     pub prior_variance: f64,
     /// Measurement variance of one sample.
     pub noise: f64,
-    /// Added to a pair's variance by each sample, as the excess of a pair changes
-    /// over time.
+    /// Added to a pair's variance by each sample, as the excess of a pair
+    /// changes over time.
     pub drift: f64,
 }
 
@@ -129,8 +129,8 @@
         }
     }
 
-    /// report returns the pairs whose mean excess at full load is `min_excess` or
-    /// more.
+    /// report returns the pairs whose mean excess at full load is `min_excess`
+    /// or more.
     pub fn report(&self, min_excess: f64) -> Vec<PairReport> {
         let reported = |(_, estimate): &(&Pair, &Estimate)| estimate.mean >= min_excess;
         let row = |(pair, estimate): (&Pair, &Estimate)| PairReport {
--- a/crates/stackpier-coordination/src/limit.rs
+++ b/crates/stackpier-coordination/src/limit.rs
@@ -14,7 +14,8 @@
     pub max_value: f64,
     /// Factor by which a refusal multiplies the limit.
     pub shrink: f64,
-    /// Added to the limit by one round of answers, as many as it allows in flight.
+    /// Added to the limit by one round of answers, as many as it allows in
+    /// flight.
     pub grow: f64,
 }
 
@@ -56,8 +57,8 @@
         self.value
     }
 
-    /// record_answer records an answer that came while `in_flight` other requests
-    /// were in flight. The limit grows only while it is fully used.
+    /// record_answer records an answer that came while `in_flight` other
+    /// requests were in flight. The limit grows only while it is fully used.
     pub fn record_answer(&mut self, in_flight: u32) {
         if f64::from(in_flight) + 1.0 >= self.value {
             let step = self.options.grow / self.value;
--- a/crates/stackpier-coordination/src/membership.rs
+++ b/crates/stackpier-coordination/src/membership.rs
@@ -121,8 +121,8 @@
     fn record_contact(&mut self, now: Millis, from: Member, data_centre: Name, leaving: bool) {
         let before = self.daemons.get(&from.vm).copied();
         let known = before.map_or(from.boot, |daemon| daemon.boot);
-        // Boots are ordered by their start, so a late message of an earlier boot
-        // never ends a later one.
+        // Boots are ordered by their start, so a late message of an earlier
+        // boot never ends a later one.
         if known != from.boot {
             self.ended.insert(Member {
                 vm: from.vm,
@@ -173,8 +173,8 @@
         live
     }
 
-    /// alive reports whether a boot of a daemon is among the live ones of this data
-    /// centre.
+    /// alive reports whether a boot of a daemon is among the live ones of this
+    /// data centre.
     pub fn alive(&self, now: Millis, member: Member) -> bool {
         self.live(now, self.data_centre).contains(&member)
     }
@@ -193,7 +193,8 @@
         self.chosen(now, item) == Some(self.me)
     }
 
-    /// standing returns the worst standing of a worker by the list and by peers.
+    /// standing returns the worst standing of a worker by the list and by
+    /// peers.
     pub fn standing(&self, worker: Name) -> Option<Standing> {
         let listed = self.roster.get(&worker)?.standing;
         let by_peers = match self.departing.contains(&worker) {
@@ -245,13 +246,14 @@
             .collect()
     }
 
-    /// data_centres returns all listed data centres, in the order that all daemons
-    /// use.
+    /// data_centres returns all listed data centres, in the order that all
+    /// daemons use.
     pub fn data_centres(&self) -> BTreeSet<Name> {
         self.roster.values().map(|vm| vm.data_centre).collect()
     }
 
-    /// peers returns the listed entry VMs that are not gone, without the own one.
+    /// peers returns the listed entry VMs that are not gone, without the own
+    /// one.
     pub fn peers(&self) -> impl Iterator<Item = &Vm> {
         self.roster.values().filter(|vm| {
             vm.role == Role::Entry && vm.name != self.me.vm && vm.standing != Standing::Gone
--- a/crates/stackpier-coordination/src/once.rs
+++ b/crates/stackpier-coordination/src/once.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The receiver's side of requests that run at most once: which holders and data
-//! centres it asks before it sends a request to an upstream.
+//! The receiver's side of requests that run at most once: which holders and
+//! data centres it asks before it sends a request to an upstream.
 //!
 //! Grants and seals are requested in an order of data centres that is the same
 //! on all daemons, so that two concurrent repeats of a request can't both be
@@ -121,8 +121,9 @@
 }
 
 impl Once {
-    /// new starts the state machine and returns the first query, or a refusal if
-    /// no map or, for a repeat, not the own data centre is known.
+    /// new starts the state machine and returns the first query. It refuses the
+    /// request if no holder map is known, or if the request is a repeat and the
+    /// list of data centres lacks the own one.
     pub fn new(key: Key, setting: Setting<'_>, options: Options) -> (Once, Progress) {
         let mut once = Once {
             asks: VecDeque::new(),
@@ -273,8 +274,8 @@
     asks
 }
 
-/// seals returns the seals that make a whole data centre refuse a key, with that
-/// of the newest holder last. It is empty while no map is known.
+/// seals returns the seals that make a whole data centre refuse a key, with
+/// that of the newest holder last. It is empty while no map is known.
 pub fn seals(key: Key, map: &Map, options: Options) -> Vec<(Member, Seal)> {
     let Some(newest) = map.newest() else {
         return Vec::new();
--- a/crates/stackpier-coordination/src/owner.rs
+++ b/crates/stackpier-coordination/src/owner.rs
@@ -3,10 +3,10 @@
 //! leases of its workers, and records how runs end.
 //!
 //! A task never runs in two places, for three reasons. A claim moves only after
-//! the rack's page shows its run as ended, so a claim in a revision of the homes
-//! holds until then. The page records the revision of the homes by which ended
-//! rows were dropped, and accepts no claim of an earlier revision. A run ends in
-//! the page only on evidence: its worker's report or its expired lease.
+//! the rack's page shows its run as ended, so a claim in a revision of the
+//! homes holds until then. The page records the revision of the homes by which
+//! ended rows were dropped, and accepts no claim of an earlier revision. A run
+//! ends in the page only on evidence: its worker's report or its expired lease.
 
 mod calls;
 mod commit;
@@ -102,8 +102,8 @@
     /// Runs to be stopped to protect services.
     evict: BTreeSet<Run>,
     breakers: BTreeMap<Name, Breaker>,
-    /// Runs that the pending swap ends because their worker's lease expired. The
-    /// worker's lease is not renewed before the page shows them as ended:
+    /// Runs that the pending swap ends because their worker's lease expired.
+    /// The worker's lease is not renewed before the page shows them as ended:
     /// otherwise such a run could start during the swap.
     expiring: BTreeMap<Name, BTreeSet<Run>>,
     dirty: BTreeSet<u16>,
@@ -180,8 +180,8 @@
         effects
     }
 
-    /// report returns the rack's report to the data centre, if this daemon is the
-    /// renewer.
+    /// report returns the rack's report to the data centre, if this daemon is
+    /// the renewer.
     pub fn report(&self) -> Option<&RackReport> {
         self.renews().then_some(&self.report)
     }
@@ -214,7 +214,8 @@
         let due = self
             .swept
             .is_none_or(|at| now.since(at) >= self.options.sweep_ms);
-        // A daemon that neither renews nor would take over doesn't need the page.
+        // A daemon that neither renews nor would take over doesn't need the
+        // page.
         let concerned = self.renews() || table.preferred(now, self.rack.as_str());
         if !(due && concerned) {
             return;
--- a/crates/stackpier-coordination/src/owner/commit.rs
+++ b/crates/stackpier-coordination/src/owner/commit.rs
@@ -29,8 +29,8 @@
 };
 
 impl Owner {
-    /// may_commit reports whether the interval between commits has passed. It is
-    /// shorter while urgent work waits.
+    /// may_commit reports whether the interval between commits has passed. It
+    /// is shorter while urgent work waits.
     pub(super) fn may_commit(&self, now: Millis) -> bool {
         let mut claimed = self.unwritten.iter().flat_map(|claims| &claims.claimed);
         let urgent = claimed.any(|home| home.work.urgent);
@@ -87,8 +87,8 @@
             return;
         };
         let Swapped::Won(revision) = swap else {
-            // The swap lost, or its outcome is unknown: nothing is concluded from it
-            // before the page is read again.
+            // The swap lost, or its outcome is unknown: nothing is concluded
+            // from it before the page is read again.
             self.stale = true;
             self.unwritten.append(&mut self.writing);
             return;
--- a/crates/stackpier-coordination/src/owner/learn.rs
+++ b/crates/stackpier-coordination/src/owner/learn.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// observe updates the model with all new samples, and returns the sample with
-    /// the largest slowdown.
+    /// observe updates the model with all new samples, and returns the sample
+    /// with the largest slowdown.
     fn observe(&mut self, worker: Name, rows: &[Row], usage: &[Usage]) -> Option<Victim> {
         let contact = self.contacts.get_mut(&worker)?;
         let mut worst: Option<Victim> = None;
--- a/crates/stackpier-coordination/src/owner/messages.rs
+++ b/crates/stackpier-coordination/src/owner/messages.rs
@@ -36,9 +36,9 @@
         }
     }
 
-    /// differing returns the shards whose claims differ from the page's rows even
-    /// after their placers' messages were applied. In that case a message was
-    /// lost.
+    /// differing returns the shards whose claims differ from the page's rows
+    /// even after their placers' messages were applied. In that case a message
+    /// was lost.
     pub(super) fn differing(&self, next: &Rack) -> BTreeSet<u16> {
         let mut sums = BTreeMap::new();
         for claims in &self.unwritten {
@@ -60,8 +60,8 @@
         differs.map(|(shard, _)| *shard).collect()
     }
 
-    /// ended_hints returns the hints that tell the placers of shards which of their
-    /// runs ended.
+    /// ended_hints returns the hints that tell the placers of shards which of
+    /// their runs ended.
     pub(super) fn ended_hints<'a>(&self, rows: impl Iterator<Item = &'a Row>) -> Vec<Effect> {
         let mut by_shard: BTreeMap<u16, Vec<Ended>> = BTreeMap::new();
         for row in rows {
--- a/crates/stackpier-coordination/src/owner/read.rs
+++ b/crates/stackpier-coordination/src/owner/read.rs
@@ -60,7 +60,8 @@
             effects.push(Effect::Note(Note::GaveUp(self.rack, term)));
         }
         if renews && !self.renews() {
-            // This daemon's take-over was written, but the store's reply was lost.
+            // This daemon's take-over was written, but the store's reply was
+            // lost.
             self.sole_since = page.former.is_empty().then_some((term, now));
             self.contacts.clear();
         }
--- a/crates/stackpier-coordination/src/owner/renewer.rs
+++ b/crates/stackpier-coordination/src/owner/renewer.rs
@@ -9,15 +9,15 @@
 use crate::{effect::Effect, membership::Table};
 
 impl Owner {
-    /// renews reports whether this daemon is the rack's renewer, according to the
-    /// page as last read or written.
+    /// renews reports whether this daemon is the rack's renewer, according to
+    /// the page as last read or written.
     pub fn renews(&self) -> bool {
         let renewer = self.page.as_ref().and_then(|(_, page)| page.renewer);
         renewer.is_some_and(|renewer| renewer.boot == self.me.boot)
     }
 
-    /// renounced returns the promise not to renew under earlier terms, if there is
-    /// one to send.
+    /// renounced returns the promise not to renew under earlier terms, if there
+    /// is one to send.
     pub fn renounced(&self) -> Option<Renounced> {
         self.renounced.map(|below| Renounced {
             rack: self.rack,
@@ -25,8 +25,8 @@
         })
     }
 
-    /// give_up stops renewing, so that another daemon can take the rack over when
-    /// this one stops as planned.
+    /// give_up stops renewing, so that another daemon can take the rack over
+    /// when this one stops as planned.
     pub fn give_up(&mut self) {
         if let Some(renewer) = self.page().and_then(|page| page.renewer)
             && renewer.boot == self.me.boot
@@ -35,8 +35,8 @@
         }
     }
 
-    /// receive_renounced records another daemon's promise not to renew under terms
-    /// before `below`.
+    /// receive_renounced records another daemon's promise not to renew under
+    /// terms before `below`.
     pub fn receive_renounced(&mut self, from: Member, below: u64) {
         let Some((_, page)) = &mut self.page else {
             return;
@@ -45,16 +45,16 @@
         page.former.retain(|old| !done(old));
     }
 
-    /// update_sole_since drops former renewers that can no longer renew, and sets
-    /// the time since which none is left.
+    /// update_sole_since drops former renewers that can no longer renew, and
+    /// sets the time since which none is left.
     pub(super) fn update_sole_since(&mut self, now: Millis, table: &Table) {
         let Some((_, page)) = &mut self.page else {
             return;
         };
         let gone = |old: &Renewer| table.gone(member(*old));
-        // Calls that this process sent under an earlier term carry clock readings
-        // that it received before now, so the leases they renew are over within a
-        // lease from now.
+        // Calls that this process sent under an earlier term carry clock
+        // readings that it received before now, so the leases they renew are
+        // over within a lease from now.
         let me = self.me.boot;
         page.former.retain(|old| old.boot != me && !gone(old));
         let Some(renewer) = page.renewer else { return };
--- a/crates/stackpier-coordination/src/owner/revise.rs
+++ b/crates/stackpier-coordination/src/owner/revise.rs
@@ -86,7 +86,8 @@
             .retain(|worker| worker.condition != Condition::Gone || used(worker.name));
     }
 
-    /// revise_contact records what a worker reported, or that its lease expired.
+    /// revise_contact records what a worker reported, or that its lease
+    /// expired.
     pub(super) fn revise_contact(
         &self,
         now: Millis,
--- a/crates/stackpier-coordination/src/placer.rs
+++ b/crates/stackpier-coordination/src/placer.rs
@@ -172,8 +172,8 @@
         let item = item(view.table.data_centre(), self.shard);
         let mine = view.table.preferred(now, &item);
         if !mine {
-            // Another daemon normally places this shard. The page is read again if
-            // that changes.
+            // Another daemon normally places this shard. The page is read again
+            // if that changes.
             if matches!(self.step, Step::Idle) {
                 self.stale = true;
             }
@@ -195,8 +195,8 @@
         self.try_swap(now, may_commit, view, writer, effects);
     }
 
-    /// update_urgent sets `urgent` to whether any accepted intent is urgent, if the
-    /// intents have changed since the last placement attempt.
+    /// update_urgent sets `urgent` to whether any accepted intent is urgent, if
+    /// the intents have changed since the last placement attempt.
     fn update_urgent(&mut self, catalogue: &Catalogue) {
         let changes = catalogue.changes();
         if self.seen.is_some_and(|seen| seen.changes == changes) {
@@ -206,8 +206,8 @@
         self.urgent = catalogue.objects().any(urgent);
     }
 
-    /// sweep reads the page again, and sends each rack the sum of its claims, by
-    /// which the rack's owner notices a lost message.
+    /// sweep reads the page again, and sends each rack the sum of its claims,
+    /// by which the rack's owner notices a lost message.
     fn sweep(&mut self, now: Millis, view: View<'_>, effects: &mut Vec<Effect>) {
         let due = |at| now.since(at) >= self.options.sweep_ms;
         if self.swept.is_some_and(|at| !due(at)) {
@@ -226,7 +226,8 @@
         for rack in view.table.racks() {
             self.claims(&mut racks, rack);
         }
-        // The sum does not cover stops, so they are sent again until they are done.
+        // The sum does not cover stops, so they are sent again until they are
+        // done.
         let claimed = page
             .homes
             .iter()
--- a/crates/stackpier-coordination/src/placer/claim.rs
+++ b/crates/stackpier-coordination/src/placer/claim.rs
@@ -38,19 +38,19 @@
         return;
     }
     waiting.sort_by_key(|place| order(view.catalogue, &next.homes[*place]));
-    let mut candidates = candidates(view, next);
+    let mut offers = list_offers(view, next);
     let excess = excess(view);
     for place in waiting {
         let home = &mut next.homes[place];
-        let same = same(&candidates, &excess, &home.work);
-        match choose(&home.work, &same, policy) {
+        let choices = fill_candidates(&offers, &excess, &home.work);
+        match choose(&home.work, &choices, policy) {
             Some(chosen) => {
                 home.place = Place::Claimed(Claim {
                     rack: chosen.rack,
                     worker: chosen.worker,
                     stop: false,
                 });
-                occupy(&mut candidates, &chosen, &home.work);
+                occupy(&mut offers, &chosen, &home.work);
             }
             None => effects.push(Effect::Note(Note::Unplaced(home.run()))),
         }
@@ -80,7 +80,7 @@
     services: Vec<Name>,
 }
 
-fn candidates(view: View<'_>, next: &Shard) -> Vec<Offer> {
+fn list_offers(view: View<'_>, next: &Shard) -> Vec<Offer> {
     let mut offers = Vec::new();
     for report in view.racks.values() {
         for worker in &report.workers {
@@ -146,9 +146,10 @@
     here.map(|endpoint| endpoint.service).collect()
 }
 
-/// same returns the candidates with what depends on the task: the slowdown that
-/// it adds, and how many tasks of the same intent are on the worker and rack.
-fn same(offers: &[Offer], excess: &Excess, work: &Work) -> Vec<Candidate> {
+/// fill_candidates returns the candidates with what depends on the task: the
+/// slowdown that it adds, and how many tasks of the same intent are on the
+/// worker and rack.
+fn fill_candidates(offers: &[Offer], excess: &Excess, work: &Work) -> Vec<Candidate> {
     let count = |offer: &Offer| {
         offer
             .names
--- a/crates/stackpier-coordination/src/placer/commit.rs
+++ b/crates/stackpier-coordination/src/placer/commit.rs
@@ -24,8 +24,8 @@
 }
 
 impl Placer {
-    /// interval_ms returns the shortest time between two commits, in milliseconds.
-    /// It is shorter while urgent work waits.
+    /// interval_ms returns the shortest time between two commits, in
+    /// milliseconds. It is shorter while urgent work waits.
     pub(super) fn interval_ms(&self) -> u64 {
         let waits = |home: &Home| home.work.urgent && home.place == Place::Pending;
         let urgent = self.page().is_some_and(|page| page.homes.iter().any(waits));
@@ -84,8 +84,8 @@
             return;
         };
         let Swapped::Won(revision) = swap else {
-            // The swap lost, or its outcome is unknown: nothing is concluded from it
-            // before the page is read again.
+            // The swap lost, or its outcome is unknown: nothing is concluded
+            // from it before the page is read again.
             self.stale = true;
             self.seen = None;
             self.unwritten.append(&mut self.writing);
--- a/crates/stackpier-coordination/src/placer/messages.rs
+++ b/crates/stackpier-coordination/src/placer/messages.rs
@@ -14,7 +14,8 @@
 use crate::effect::{Effect, Note};
 
 impl Placer {
-    /// send_changes sends each rack the changes of its claims since the `old` page.
+    /// send_changes sends each rack the changes of its claims since the `old`
+    /// page.
     pub(super) fn send_changes(&self, old: &Shard, effects: &mut Vec<Effect>) {
         let Some((_, page)) = &self.page else { return };
         let before: BTreeMap<key::Task, &Home> = old
--- a/crates/stackpier-coordination/src/policy.rs
+++ b/crates/stackpier-coordination/src/policy.rs
@@ -38,9 +38,9 @@
 /// Options balance the tail latency of services against batch throughput.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Largest slowdown, in thousandths, that batch work may add to the services
-    /// of a worker; it waits rather than add more. A low limit favours tail
-    /// latency, a high one batch throughput.
+    /// Largest slowdown, in thousandths, that batch work may add to the
+    /// services of a worker; it waits rather than add more. A low limit favours
+    /// tail latency, a high one batch throughput.
     pub max_excess_milli: u32,
 }
 
--- a/crates/stackpier-coordination/src/queue.rs
+++ b/crates/stackpier-coordination/src/queue.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// ahead returns how many tickets would be served before a new one with this
-    /// deadline.
+    /// ahead returns how many tickets would be served before a new one with
+    /// this deadline.
     pub fn ahead(&self, deadline: Millis) -> usize {
         self.waiting.range(..=(deadline, Ticket(u64::MAX))).count()
     }
--- a/crates/stackpier-coordination/src/reaction.rs
+++ b/crates/stackpier-coordination/src/reaction.rs
@@ -106,8 +106,8 @@
         &self.throttled
     }
 
-    /// sample processes the worst slowdown of the worker's services and the batch
-    /// tasks that may cause it, and returns what to do.
+    /// sample processes the worst slowdown of the worker's services and the
+    /// batch tasks that may cause it, and returns what to do.
     pub fn sample(
         &mut self,
         now: Millis,
--- a/crates/stackpier-coordination/src/route.rs
+++ b/crates/stackpier-coordination/src/route.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The choice of an upstream for a request, per service: the one with the lowest
-//! expected time to an answer, by load and latency, within a limit for each
-//! upstream and behind a bounded queue.
+//! The choice of an upstream for a request, per service: the one with the
+//! lowest expected time to an answer, by load and latency, within a limit for
+//! each upstream and behind a bounded queue.
 
 mod cost;
 mod router;
@@ -32,8 +32,8 @@
     /// Latency assumed of an upstream that has not answered yet, in
     /// milliseconds.
     pub assumed_ms: f64,
-    /// Longest expected wait for a slot, in milliseconds. Requests that would wait
-    /// longer are shed, as a longer queue only adds delay.
+    /// Longest expected wait for a slot, in milliseconds. Requests that would
+    /// wait longer are shed, as a longer queue only adds delay.
     pub longest_wait_ms: u64,
     /// Latencies up to this many times the median count as the median, so that
     /// random variation doesn't affect the choice.
@@ -65,7 +65,8 @@
 pub enum Outcome {
     /// The whole answer arrived.
     Answered,
-    /// The upstream refused because it had no free slot; the request did not run.
+    /// The upstream refused because it had no free slot; the request did not
+    /// run.
     Busy,
     /// The upstream could not be reached or does not run the task; the request
     /// did not run.
--- a/crates/stackpier-coordination/src/route/cost.rs
+++ b/crates/stackpier-coordination/src/route/cost.rs
@@ -28,9 +28,9 @@
         })
     }
 
-    /// cost returns the expected time to an answer. Failures raise it, so that an
-    /// upstream that fails fast does not look cheap. Measurements of an unused
-    /// upstream lose weight with age, so that it is tried again.
+    /// cost returns the expected time to an answer. Failures raise it, so that
+    /// an upstream that fails fast does not look cheap. Measurements of an
+    /// unused upstream lose weight with age, so that it is tried again.
     fn cost(&self, now: Millis, median: f64, key: Key) -> f64 {
         self.upstreams.get(key).map_or(f64::MAX, |upstream| {
             let age = now.since(upstream.measured) as f64;
@@ -43,9 +43,9 @@
         })
     }
 
-    /// estimated_ms returns an upstream's estimated latency in milliseconds. The
-    /// measured one counts with `weight`, and a latency within the noise counts
-    /// as the median.
+    /// estimated_ms returns an upstream's estimated latency in milliseconds.
+    /// The measured one counts with `weight`, and a latency within the noise
+    /// counts as the median.
     fn estimated_ms(&self, weight: f64, median: f64, upstream: &Upstream) -> f64 {
         let latency = median + (upstream.latency_ms - median) * weight;
         match latency <= median * self.options.noise {
--- a/crates/stackpier-coordination/src/route/service.rs
+++ b/crates/stackpier-coordination/src/route/service.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The routing state of one service: assigns requests to upstreams, queues them,
-//! and updates the estimates from their outcomes.
+//! The routing state of one service: assigns requests to upstreams, queues
+//! them, and updates the estimates from their outcomes.
 
 use rand::Rng;
 use stackpier_core::{Millis, Name, arena::Arena};
@@ -38,8 +38,8 @@
         }
     }
 
-    /// update sets the current upstreams and keeps the measurements of those that
-    /// stay.
+    /// update sets the current upstreams and keeps the measurements of those
+    /// that stay.
     pub fn update(&mut self, endpoints: &[Endpoint]) {
         let stays = |key: &Key| {
             let upstream = self.upstreams.get(*key);
@@ -83,7 +83,8 @@
     }
 
     /// arrive decides on a request that has just arrived. `avoid` names the
-    /// workers that it was sent to before; they are used only if no other accepts.
+    /// workers that it was sent to before; they are used only if no other
+    /// accepts.
     pub fn arrive<R: Rng>(
         &mut self,
         now: Millis,
@@ -136,7 +137,8 @@
         }
     }
 
-    /// done records the outcome of a request that was sent and how long it took.
+    /// done records the outcome of a request that was sent and how long it
+    /// took.
     pub fn done(&mut self, now: Millis, key: Key, took_ms: u64, outcome: Outcome) {
         let may_eject = self.may_eject();
         let smoothing = self.options.smoothing;
--- a/crates/stackpier-coordination/src/route/upstream.rs
+++ b/crates/stackpier-coordination/src/route/upstream.rs
@@ -62,8 +62,8 @@
                 self.breaker.record_success();
             }
             Outcome::Busy => {
-                // The upstream is alive, so a probe that is refused as busy closes
-                // the breaker.
+                // The upstream is alive, so a probe that is refused as busy
+                // closes the breaker.
                 self.limit.record_refusal();
                 self.breaker.record_success();
             }
--- a/crates/stackpier-coordination/tests/reaction.rs
+++ b/crates/stackpier-coordination/tests/reaction.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn model_tells_the_noisy_neighbour_from_the_quiet_one() {
+fn model_distinguishes_noisy_from_quiet_neighbour() {
     let mut model = Model::new(interference::Options::default());
     let (victim, noisy, quiet) = (name("fleet"), name("noisy"), name("quiet"));
     let together = BTreeMap::from([(noisy, 1), (quiet, 1)]);
@@ -49,19 +49,19 @@
         });
     }
     let mean = |neighbour| model.estimate(Pair { victim, neighbour }).mean;
-    // The true excess is 1.0; after twenty samples the estimate is within a fifth
-    // of it.
+    // The true excess is 1.0; after twenty samples the estimate is within a
+    // fifth of it.
     assert!((0.8..1.2).contains(&mean(noisy)), "{}", mean(noisy));
-    // The first samples with both neighbours raise the estimate of the quiet one
-    // too, and for long, as the filter keeps no covariance. It must stay below
-    // what is reported to placers.
+    // The first samples with both neighbours raise the estimate of the quiet
+    // one too, and for long, as the filter keeps no covariance. It must stay
+    // below what is reported to placers.
     assert!(mean(quiet) < MIN_REPORTED_EXCESS, "{}", mean(quiet));
-    let told: Vec<Name> = model
+    let reported: Vec<Name> = model
         .report(MIN_REPORTED_EXCESS)
         .iter()
         .map(|pair| pair.neighbour)
         .collect();
-    assert_eq!(told, [noisy]);
+    assert_eq!(reported, [noisy]);
 }
 
 #[test]
--- a/crates/stackpier-coordination/tests/route.rs
+++ b/crates/stackpier-coordination/tests/route.rs
@@ -76,8 +76,8 @@
             .map_or(u32::MAX, |found| found.endpoint.run.task.index)
     }
 
-    /// exchange sends one request. The first upstream refuses it after 1 ms, the
-    /// others answer after 20 ms.
+    /// exchange sends one request. The first upstream refuses it after 1 ms,
+    /// the others answer after 20 ms.
     fn exchange(&mut self) -> u32 {
         let key = self.send();
         let index = self.index(key);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn ejected_upstream_is_probed_and_comes_back() {
+fn ejected_upstream_is_probed_after_the_pause() {
     let mut fixture = Fixture::new(4, Options::default());
     (0..100).for_each(|_| {
         fixture.exchange();
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn service_without_upstream_says_so() {
+fn service_without_upstream_sends_nothing() {
     let mut fixture = Fixture::new(0, Options::default());
     assert_eq!(fixture.arrive(DEADLINE), Choice::NoUpstream);
 }
@@ -163,7 +163,7 @@
     assert_eq!(
         tickets,
         [Ticket(3)],
-        "the second to come has the earlier deadline"
+        "the request that arrived second has the earlier deadline"
     );
 }
 
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn slot_of_an_upstream_that_left_is_given_back_without_harm() {
+fn slot_of_a_removed_upstream_can_be_freed() {
     let mut fixture = Fixture::new(2, Options::default());
     let key = fixture.send();
     fixture.service.update(&[]);
