--- a/crates/stackpier-coordination/src/breaker.rs
+++ b/crates/stackpier-coordination/src/breaker.rs
@@ -1,17 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Ejection of an upstream that fails, with a probe after a growing pause.
+//! A circuit breaker: ejects an upstream that fails, and probes it after a
+//! pause that doubles with each ejection.
 
 use stackpier_core::Millis;
 
-/// Options are the counts and times of a breaker.
+/// Options hold the counts and times of a breaker.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Failures in a row that eject.
+    /// Consecutive failures after which the upstream is ejected.
     pub failures: u32,
     /// The first pause, in milliseconds.
     pub pause_ms: u64,
     /// The longest pause, in milliseconds.
-    pub longest_ms: u64,
+    pub max_pause_ms: u64,
 }
 
 impl Default for Options {
@@ -19,23 +20,23 @@
         Options {
             failures: 4,
             pause_ms: 500,
-            longest_ms: 30_000,
+            max_pause_ms: 30_000,
         }
     }
 }
 
-/// State is what a breaker lets through.
+/// State is which requests a breaker lets through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Everything.
+    /// All requests.
     Closed,
-    /// Nothing before this point, then one probe.
+    /// None before this time, then one probe.
     Open(Millis),
-    /// Nothing while the probe is out.
+    /// None while the probe is in flight.
     Probing,
 }
 
-/// Breaker watches one upstream.
+/// Breaker counts the failures of one upstream or worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Breaker {
     options: Options,
@@ -45,7 +46,7 @@
 }
 
 impl Breaker {
-    /// new starts closed.
+    /// new returns a closed breaker.
     pub fn new(options: Options) -> Breaker {
         Breaker {
             options,
@@ -55,12 +56,12 @@
         }
     }
 
-    /// state returns what is let through.
+    /// state returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// ready tells whether a request may be sent: any when closed, a probe
+    /// ready reports whether a request may be sent: any while closed, one probe
     /// after the pause.
     pub fn ready(&self, now: Millis) -> bool {
         match self.state {
@@ -70,28 +71,29 @@
         }
     }
 
-    /// sent notes that a request is sent.
-    pub fn sent(&mut self) {
+    /// record_sent records that a request was sent: after the pause it is the
+    /// probe.
+    pub fn record_sent(&mut self) {
         if matches!(self.state, State::Open(_)) {
             self.state = State::Probing;
         }
     }
 
-    /// succeeded closes the breaker.
-    pub fn succeeded(&mut self) {
+    /// record_success closes the breaker and resets the pause.
+    pub fn record_success(&mut self) {
         self.state = State::Closed;
         self.failures = 0;
         self.pause_ms = self.options.pause_ms;
     }
 
-    /// failed counts a failure; `may_eject` is false while too large a share
-    /// of the upstreams is ejected.
-    pub fn failed(&mut self, now: Millis, may_eject: bool) {
+    /// record_failure counts a failure. `may_eject` is false while too large a
+    /// share of the upstreams is ejected; a failed probe ejects anyway.
+    pub fn record_failure(&mut self, now: Millis, may_eject: bool) {
         self.failures += 1;
         let probe = self.state == State::Probing;
         if probe || (self.failures >= self.options.failures && may_eject) {
             self.state = State::Open(now.plus(self.pause_ms));
-            self.pause_ms = (self.pause_ms * 2).min(self.options.longest_ms);
+            self.pause_ms = (self.pause_ms * 2).min(self.options.max_pause_ms);
         }
     }
 }
--- a/crates/stackpier-coordination/src/owner/revise.rs
+++ b/crates/stackpier-coordination/src/owner/revise.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! How the rack's page is brought up to what the owner knows.
+//! Updates of the rack's page with what the owner knows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +18,7 @@
 };
 
 impl Owner {
-    /// revise brings a copy of the page up to what is known.
+    /// revise updates a copy of the page with what the owner knows.
     pub(super) fn revise(
         &self,
         now: Millis,
@@ -32,7 +32,7 @@
             return;
         }
         self.revise_workers(table, next);
-        for run in self.lapsing.values().flatten() {
+        for run in self.expiring.values().flatten() {
             next.end(*run, Outcome::Lost);
         }
         for run in &self.evict {
@@ -44,12 +44,13 @@
         for (shard, (revision, page)) in homes {
             self.settle_shard(now, *shard, *revision, page, next);
         }
-        for claims in &self.told {
+        for claims in &self.unwritten {
             self.settle_claims(now, claims, next);
         }
     }
 
-    /// revise_renewer takes the rack over if it has no living renewer.
+    /// revise_renewer takes the rack over if its renewer is not alive and this
+    /// daemon is preferred.
     pub(super) fn revise_renewer(&self, now: Millis, table: &Table, next: &mut Rack) {
         let alive = next
             .renewer
@@ -59,7 +60,7 @@
         }
     }
 
-    /// revise_workers brings the rack's workers in line with the list.
+    /// revise_workers updates the rack's workers from the platform's list.
     pub(super) fn revise_workers(&self, table: &Table, next: &mut Rack) {
         for vm in table.workers(self.rack) {
             if next.worker(vm.name).is_none() && vm.standing != Standing::Gone {
@@ -85,7 +86,8 @@
             .retain(|worker| worker.condition != Condition::Gone || used(worker.name));
     }
 
-    /// revise_contact records what a worker said, or that its lease lapsed.
+    /// revise_contact records what a worker reported, or that its lease
+    /// expired.
     pub(super) fn revise_contact(
         &self,
         now: Millis,
@@ -108,33 +110,33 @@
         for (run, outcome) in &contact.ended {
             next.end(*run, *outcome);
         }
-        if self.lapsed(now, contact) && next.end_all(name) {
+        if self.expired(now, contact) && next.end_all(name) {
             effects.push(Effect::Note(Note::Lapsed(name)));
         }
     }
 
-    /// lapsed_runs returns the open runs on workers whose lease has lapsed.
-    pub(super) fn lapsed_runs(&self, now: Millis, page: &Rack) -> BTreeMap<Name, BTreeSet<Run>> {
-        let lapsed = self
+    /// expired_runs returns the open runs on workers whose lease has expired.
+    pub(super) fn expired_runs(&self, now: Millis, page: &Rack) -> BTreeMap<Name, BTreeSet<Run>> {
+        let expired = self
             .contacts
             .iter()
-            .filter(|(_, contact)| self.lapsed(now, contact));
+            .filter(|(_, contact)| self.expired(now, contact));
         let runs = |name: Name| page.live(name).map(|row| row.run).collect();
-        lapsed.map(|(name, _)| (*name, runs(*name))).collect()
+        expired.map(|(name, _)| (*name, runs(*name))).collect()
     }
 
-    /// lapsed tells whether every lease that anybody may have renewed at a
-    /// worker is over.
-    pub(super) fn lapsed(&self, now: Millis, contact: &Contact) -> bool {
+    /// expired reports whether every lease that this daemon or a former renewer
+    /// may have renewed at a worker is over.
+    pub(super) fn expired(&self, now: Millis, contact: &Contact) -> bool {
         let Some((_, sole)) = self.sole_since else {
             return false;
         };
-        let last = sole.max(contact.heard);
+        let last = sole.max(contact.last_contact);
         now.since(last) > self.options.lease_ms + self.options.drift_ms
     }
 
-    /// settle_shard commits the claims of a shard, marks stops, and drops
-    /// ended rows whose home has moved on.
+    /// settle_shard commits the claims of a shard, marks stops, and drops ended
+    /// rows that their homes no longer claim here.
     pub(super) fn settle_shard(
         &self,
         now: Millis,
@@ -154,7 +156,7 @@
         next.drop_rows(shard, revision, moved);
     }
 
-    /// settle_claims does the same by a placer's word.
+    /// settle_claims does the same as settle_shard from a placer's message.
     pub(super) fn settle_claims(&self, now: Millis, claims: &Claims, next: &mut Rack) {
         if claims.revision < next.settled_by(claims.shard) {
             return;
@@ -183,11 +185,11 @@
             checkpoint: home.checkpoint,
             phase: Phase::Running,
         };
-        let lapsed = self
+        let expired = self
             .contacts
             .get(&claim.worker)
-            .is_some_and(|c| self.lapsed(now, c));
-        if claim.stop || lapsed || next.commit(row).is_err() {
+            .is_some_and(|c| self.expired(now, c));
+        if claim.stop || expired || next.commit(row).is_err() {
             row.phase = Phase::Ended(Outcome::Refused);
             next.rows.push(row);
         }
--- a/crates/stackpier-coordination/src/route/upstream.rs
+++ b/crates/stackpier-coordination/src/route/upstream.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What is known of one upstream.
+//! The measurements and limits of one upstream.
 
 use stackpier_core::{Millis, arena::Index};
 use stackpier_protocol::peer::Endpoint;
@@ -14,19 +14,18 @@
     pub endpoint: Endpoint,
     pub(super) in_flight: u32,
     pub(super) latency_ms: f64,
-    /// When it last answered or failed.
+    /// When it last answered, failed or timed out.
     pub(super) measured: Millis,
     pub(super) success: f64,
     pub(super) limit: Limit,
     pub(super) breaker: Breaker,
 }
 
-/// Key points to an upstream of one service.
+/// Key identifies an upstream of one service.
 pub type Key = Index<Upstream>;
 
 impl Upstream {
-    /// new starts with nothing in flight and an assumed latency in
-    /// milliseconds.
+    /// new returns an upstream with nothing in flight and an assumed latency.
     pub(super) fn new(endpoint: Endpoint, latency_ms: f64, options: &Options) -> Upstream {
         Upstream {
             endpoint,
@@ -39,12 +38,12 @@
         }
     }
 
-    /// takes tells whether a request may be sent here now.
-    pub(super) fn takes(&self, now: Millis) -> bool {
+    /// accepts reports whether a request may be sent to this upstream now.
+    pub(super) fn accepts(&self, now: Millis) -> bool {
         self.limit.allows(self.in_flight) && self.breaker.ready(now)
     }
 
-    /// done takes the outcome of a request, after a time in milliseconds.
+    /// done records the outcome of a request and how long it took.
     pub(super) fn done(
         &mut self,
         now: Millis,
@@ -59,23 +58,24 @@
                 self.latency_ms = smooth(self.latency_ms, took_ms as f64, smoothing);
                 self.measured = now;
                 self.success = smooth(self.success, 1.0, smoothing);
-                self.limit.answered(self.in_flight);
-                self.breaker.succeeded();
+                self.limit.record_answer(self.in_flight);
+                self.breaker.record_success();
             }
             Outcome::Busy => {
-                // It is alive, so a probe that meets it has done its work.
-                self.limit.refused();
-                self.breaker.succeeded();
+                // The upstream is alive, so a probe that is refused as busy
+                // closes the breaker.
+                self.limit.record_refusal();
+                self.breaker.record_success();
             }
             Outcome::Refused | Outcome::Broken => {
                 self.success = smooth(self.success, 0.0, smoothing);
                 self.measured = now;
-                self.breaker.failed(now, may_eject);
+                self.breaker.record_failure(now, may_eject);
             }
             Outcome::TimedOut => {
                 self.latency_ms = smooth(self.latency_ms, took_ms as f64, smoothing);
                 self.measured = now;
-                self.breaker.failed(now, may_eject);
+                self.breaker.record_failure(now, may_eject);
             }
         }
     }
--- a/crates/stackpier-fuzz/src/placement/intents.rs
+++ b/crates/stackpier-fuzz/src/placement/intents.rs
@@ -70,7 +70,9 @@
     /// learn_roster gives a daemon the list of VMs, unless it is frozen.
     pub(super) fn learn_roster(&mut self, number: usize) {
         if !self.daemons[number].frozen {
-            self.daemons[number].table.list(self.roster.clone());
+            self.daemons[number]
+                .table
+                .update_roster(self.roster.clone());
         }
     }
 }
