--- a/crates/stackpier-cell/src/advice.rs
+++ b/crates/stackpier-cell/src/advice.rs
@@ -129,6 +129,6 @@
                 advice.tickets.insert(*worker, Ticket { text, expires_at });
             }
         }
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 }
--- a/crates/stackpier-cell/src/cell.rs
+++ b/crates/stackpier-cell/src/cell.rs
@@ -58,7 +58,7 @@
     /// Steps of rounds that are not due yet.
     pub(crate) not_due: Vec<StepKey>,
     /// Whether a change may allow tasks to be placed.
-    pub(crate) place_wanted: bool,
+    pub(crate) placement_due: bool,
     /// The placement passes over steps with guaranteed tasks.
     pub(crate) guaranteed_pass: GuaranteedPass,
     /// The placement passes over steps with best-effort tasks.
@@ -72,7 +72,7 @@
     pub(crate) model_saved_at: Millis,
     /// Operators' plans to take hosts down.
     pub(crate) maintenance: Vec<Rollout>,
-    /// The progress of these plans under an earlier owner.
+    /// The progress of these plans under a predecessor.
     pub(crate) inherited_maintenance: Vec<Record>,
     /// The earliest time at which this owner takes hosts down. After another owner it first
     /// waits, because two owners do not coordinate.
@@ -93,7 +93,7 @@
 
 impl Cell {
     /// new starts the ownership of a cell under `fence`, without jobs or workers. `predecessor`
-    /// tells whether an earlier owner may still act.
+    /// tells whether a predecessor may still act.
     pub fn new(options: Options, fence: u64, now: Now, predecessor: bool) -> Cell {
         let acting = if predecessor { options.authority_ms } else { 0 };
         let inherited_until = Cell::inherited_until(&options, now.mono, acting);
@@ -117,7 +117,7 @@
             guaranteed_queue: Vec::new(),
             best_effort_queue: Vec::new(),
             not_due: Vec::new(),
-            place_wanted: false,
+            placement_due: false,
             guaranteed_pass: GuaranteedPass::new(Budget::new(guaranteed_ratings, now.mono)),
             best_effort_pass: BestEffortPass::new(Budget::new(
                 options.ratings_per_ms - guaranteed_ratings,
@@ -162,8 +162,8 @@
             Event::Paced {
                 run,
                 percent,
-                taken,
-            } => self.handle_pace_answer(run, percent, taken),
+                accepted,
+            } => self.handle_pace_answer(run, percent, accepted),
             Event::Renewed {
                 worker,
                 sent,
@@ -323,7 +323,7 @@
         for queue in queues {
             self.queues.insert(queue.name.clone(), queue);
         }
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 
     /// drop_run removes a run that has ended and frees its capacity.
@@ -343,7 +343,7 @@
         if run.confirmed.is_some() {
             step.idle_since = now;
         }
-        self.place_wanted = true;
+        self.placement_due = true;
         if run.is_recorded() {
             self.mark_dirty(self.step_of(run.step).job);
         }
@@ -401,6 +401,6 @@
         }
         self.log_summary();
         let waits = self.queued().next().is_some();
-        self.place_wanted |= waits;
+        self.placement_due |= waits;
     }
 }
--- a/crates/stackpier-cell/src/crash.rs
+++ b/crates/stackpier-cell/src/crash.rs
@@ -20,7 +20,7 @@
 //! A task is given up and its job fails after [`MIN_CRASHES`] crashes if nothing else can have
 //! caused the last one, and after [`MAX_CRASHES`] otherwise. Crashes are saved with the progress of
 //! the job as soon as the worker is found silent, and each start of a suspect is saved before it is
-//! sent, so that a later owner continues the count.
+//! sent, so that a successor continues the count.
 
 mod cause;
 mod deferred;
@@ -47,12 +47,12 @@
 /// suspects of a whole rack hardly delay other starts.
 const QUIET_MS: u64 = 200;
 /// MIN_CRASHES is how many workers must have crashed under a task before it is given up. It is one
-/// more than users ask for, because the first crash counts against the neighbours too.
+/// more than operators ask for, because the first crash counts against the neighbours too.
 const MIN_CRASHES: usize = 3;
 /// MAX_CRASHES is the limit for a task that was not the only possible cause of the last crash, or
-/// whose worker may already have been down when the start was sent. Users allow two starts after
-/// the third crash; the limit uses one of them and leaves one for a crash that an owner could not
-/// save before it ended.
+/// whose worker may already have been down when the start was sent. Operators allow two starts
+/// after the third crash; the limit uses one of them and leaves one for a crash that an owner could
+/// not save before it ended.
 const MAX_CRASHES: usize = 4;
 
 /// Suspect holds the evidence against a task that may crash workers.
@@ -167,13 +167,13 @@
         }
     }
 
-    /// restore_suspect restores the evidence that an earlier owner saved against a task.
+    /// restore_suspect restores the evidence that a predecessor saved against a task.
     pub(crate) fn restore_suspect(&mut self, task: TaskKey, saved: &job::Suspect) {
         let suspect = Suspect {
-            incarnations: saved.lives.clone(),
+            incarnations: saved.incarnations.clone(),
             span_ms: saved.span_ms,
             alone: saved.alone,
-            unconfirmed: saved.unclear,
+            unconfirmed: saved.unconfirmed,
             polled_at: Millis(0),
         };
         self.task_mut(task).suspect = Some(Box::new(suspect));
@@ -254,7 +254,7 @@
             .retain(|silent_worker| self.liveness(silent_worker) != Liveness::Alive);
         if suspect.incarnations.len() < before {
             self.mark_dirty(job);
-            self.place_wanted = true;
+            self.placement_due = true;
         }
         let crashed = suspect
             .incarnations
--- a/crates/stackpier-cell/src/crash/deferred.rs
+++ b/crates/stackpier-cell/src/crash/deferred.rs
@@ -61,8 +61,8 @@
     }
 
     /// may_still_start reports whether a task may still start after the save. The save may have
-    /// outlasted the confirmations on which the decision to start relied, and a later owner may
-    /// have acknowledged the end of the task in the meantime.
+    /// outlasted the confirmations on which the decision to start relied, and a successor may have
+    /// acknowledged the end of the task in the meantime.
     fn may_still_start(&self, key: RunKey, task: TaskKey) -> bool {
         let others = self.task(task).runs.iter().filter(|other| **other != key);
         let mut others = others.filter_map(|other| self.runs.get(*other));
--- a/crates/stackpier-cell/src/crash/record.rs
+++ b/crates/stackpier-cell/src/crash/record.rs
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Saving what a later owner needs to know about tasks that may crash workers: the crashes that
-//! were found, and the starts whose outcome is still open.
+//! Saving what a successor needs to know about tasks that may crash workers: the crashes that were
+//! found, and the starts whose outcome is still open.
 //!
 //! An owner may end before it finds that the worker of a start has fallen silent. The start of a
-//! suspect is therefore saved as if its worker had crashed, until the run is cleared. A later owner
+//! suspect is therefore saved as if its worker had crashed, until the run is cleared. A successor
 //! sees which of these workers are still alive.
 //!
 //! This misses the first crash of a task, because its start was not yet isolated or saved. The
-//! later owner then sees only a worker that does not answer and a task that runs nowhere, which
-//! looks the same as a task that was still waiting. None of these tasks becomes a suspect, but
-//! their next starts are recorded.
+//! successor then sees only a worker that does not answer and a task that runs nowhere, which looks
+//! the same as a task that was still waiting. None of these tasks becomes a suspect, but their next
+//! starts are recorded.
 
 use stackpier_core::Incarnation;
 use stackpier_state::job;
@@ -37,22 +37,22 @@
         self.mark_dirty(self.step_of(self.task(task).step).job);
     }
 
-    /// may_have_crashed reports whether a task is a suspect, or may have crashed a worker under an
-    /// earlier owner.
+    /// may_have_crashed reports whether a task is a suspect, or may have crashed a worker under a
+    /// predecessor.
     fn may_have_crashed(&self, task: TaskKey) -> bool {
         let suspected = self.task(task).suspect.is_some();
         self.is_enabled(Mechanism::Suspects) && (suspected || self.may_have_crashed_unseen(task))
     }
 
-    /// may_have_crashed_unseen reports whether a task may have crashed a worker under an earlier
-    /// owner that ended before it noticed: no run of the task has ended under this owner, and this
-    /// owner has not received reports from all workers.
+    /// may_have_crashed_unseen reports whether a task may have crashed a worker under a predecessor
+    /// that ended before it noticed: no run of the task has ended under this owner, and this owner
+    /// has not received reports from all workers.
     fn may_have_crashed_unseen(&self, task: TaskKey) -> bool {
         let inherited = self.job_of(task).inherited;
         inherited && self.task(task).ended.is_none() && self.misses_workers()
     }
 
-    /// misses_workers reports whether an earlier owner may have started something on a worker that
+    /// misses_workers reports whether a predecessor may have started something on a worker that
     /// this owner has not received a report from.
     fn misses_workers(&self) -> bool {
         let uncontacted =
@@ -71,20 +71,20 @@
         let suspect = suspect.cloned().unwrap_or_default();
         let mut saved = job::Suspect {
             task: index,
-            lives: suspect.incarnations,
+            incarnations: suspect.incarnations,
             span_ms: suspect.span_ms,
             alone: suspect.alone,
-            unclear: suspect.unconfirmed,
+            unconfirmed: suspect.unconfirmed,
         };
         if !recorded.is_empty() {
             saved
-                .lives
+                .incarnations
                 .retain(|incarnation| !recorded.contains(incarnation));
-            saved.lives.extend(recorded);
+            saved.incarnations.extend(recorded);
             // It is not known how long the crash took, nor what else can have caused it.
             saved.span_ms = CLEAR_AFTER_MS;
             saved.alone = false;
-            saved.unclear = true;
+            saved.unconfirmed = true;
         }
         Some(saved)
     }
--- a/crates/stackpier-cell/src/cycle.rs
+++ b/crates/stackpier-cell/src/cycle.rs
@@ -2,7 +2,7 @@
 //! How the own load of serving tasks changes over time.
 //!
 //! The tasks of a step share the traffic of one service, so their own load changes together. In
-//! samples of user traffic it oscillates around a mean, with one period for all steps and a
+//! samples of client traffic it oscillates around a mean, with one period for all steps and a
 //! phase for each. A [`Curve`] fits mean, amplitude and phase of one step for each of a few
 //! candidate periods. [`Cycle`] weighs the periods by how well all curves predicted their
 //! samples.
@@ -15,8 +15,8 @@
 
 /// PERIOD_COUNT is the number of candidate periods.
 const PERIOD_COUNT: usize = 32;
-/// MIN_PERIOD_S is the shortest candidate period, in seconds; the users' workloads have 10 and
-/// 20.
+/// MIN_PERIOD_S is the shortest candidate period, in seconds; the client accounts' workloads
+/// have 10 and 20.
 const MIN_PERIOD_S: f64 = 5.0;
 /// PERIOD_RATIO is the ratio of two neighbouring candidates. The longest, 40 s, is about the
 /// time span that is learnt from.
@@ -24,12 +24,12 @@
 /// TERM_COUNT is the number of weights of a fit: mean, cosine and sine.
 const TERM_COUNT: usize = 3;
 /// INITIAL_MEAN is the own load that is expected of a step without samples, as a share of a
-/// task's capacity: 0.48 in the users' workloads.
+/// task's capacity: 0.48 in the client accounts' workloads.
 const INITIAL_MEAN: f64 = 0.48;
 /// INITIAL_MEAN_VARIANCE is the variance of that value.
 const INITIAL_MEAN_VARIANCE: f64 = 0.01;
-/// AMPLITUDE_VARIANCE is the initial variance of the weights of cosine and sine: the users'
-/// workloads oscillate by half of the mean.
+/// AMPLITUDE_VARIANCE is the initial variance of the weights of cosine and sine: the client
+/// accounts' workloads oscillate by half of the mean.
 const AMPLITUDE_VARIANCE: f64 = 0.03;
 /// DRIFT is by how much each sample increases a variance, as loads change.
 const DRIFT: f64 = 0.000_02;
--- a/crates/stackpier-cell/src/dedicated.rs
+++ b/crates/stackpier-cell/src/dedicated.rs
@@ -27,9 +27,9 @@
 /// MAX_IDLE_MS is how long a worker stays dedicated while no short task runs on it.
 const MAX_IDLE_MS: u64 = 2_500;
 /// DEDICATED_WAIT_MS is how long a long-running task that fits nowhere else waits before it may
-/// start on a dedicated worker. Users count the task as lost from nine seconds after its last
-/// run, if there was enough free capacity meanwhile, even if it was scattered over workers and
-/// time.
+/// start on a dedicated worker. Client accounts count the task as lost from nine seconds after
+/// its last run, if there was enough free capacity meanwhile, even if it was scattered over
+/// workers and time.
 const DEDICATED_WAIT_MS: u64 = 7_000;
 /// DEDICATED_DIVISOR limits the dedicated workers of a service to one in this many.
 const DEDICATED_DIVISOR: usize = 4;
--- a/crates/stackpier-cell/src/drain.rs
+++ b/crates/stackpier-cell/src/drain.rs
@@ -12,7 +12,7 @@
 /// must have ended: a stop takes up to 900 ms.
 const LEAVE_MARGIN_MS: u64 = 1_100;
 /// LEAVE_MS is how long a draining worker is assumed to stay if its entry does not
-/// say: the least time that the platform guarantees.
+/// say: the minimum that the platform guarantees.
 const LEAVE_MS: u64 = 2_000;
 
 impl Cell {
@@ -31,7 +31,7 @@
     }
 
     /// check_leaving stops a run on a draining worker, unless it is expected to end
-    /// in time.
+    /// before that.
     fn check_leaving(&mut self, worker: WorkerKey, key: RunKey) {
         let now = self.now.mono;
         let entry = self.worker(worker);
--- a/crates/stackpier-cell/src/evacuation.rs
+++ b/crates/stackpier-cell/src/evacuation.rs
@@ -170,7 +170,7 @@
         u64::from(largest.unwrap_or(u32::MAX))
     }
 
-    /// evacuate_one begins to evacuate the worker with the fewest processors reserved by
+    /// evacuate_one begins to evacuate the worker with the fewest processors allocated to
     /// long-running tasks, of those whose tasks all fit elsewhere.
     fn evacuate_one(&mut self) {
         let limit = self.live_workers().count() / WORKERS_PER_EVACUATION;
--- a/crates/stackpier-cell/src/event.rs
+++ b/crates/stackpier-cell/src/event.rs
@@ -66,7 +66,7 @@
         job: key::Job,
         /// The job's record in the store.
         record: Box<Record>,
-        /// The progress that an earlier owner saved.
+        /// The progress that a predecessor saved.
         progress: Option<Box<Progress>>,
         /// Whether the store holds a cancellation of the job.
         cancelled: bool,
@@ -94,7 +94,7 @@
         /// The pace that was ordered, from 0 to 100.
         percent: u8,
         /// Whether the worker accepted it.
-        taken: bool,
+        accepted: bool,
     },
     /// A lease renewal was answered, or got no answer.
     Renewed {
@@ -111,14 +111,14 @@
     Plan(Plan),
     /// An order to take a host down was answered, or got no answer.
     TakenDown(TakeDown, TakenDown),
-    /// A save was answered. The value tells whether the store took it.
+    /// A save was answered. The value tells whether the store accepted it.
     Saved(bool),
     /// The store confirmed, by a read sent at this time, that this daemon still owns the cell.
     Confirmed(Millis),
     /// The predecessor was asked for the progress that it could not save. The list is its
     /// answer, empty if it gave none.
     PredecessorAnswered(Vec<Unsaved>),
-    /// An earlier owner sent, without being asked, the progress that it could not save.
+    /// A predecessor sent, without being asked, the progress that it could not save.
     HandedOver(Vec<Unsaved>),
     /// Time has passed.
     Tick,
--- a/crates/stackpier-cell/src/handover.rs
+++ b/crates/stackpier-cell/src/handover.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Progress that an earlier owner knows of and the store lacks.
+//! Progress that a predecessor knows of and the store lacks.
 //!
 //! An owner keeps recording ends while the store is unavailable. If a worker leaves or crashes in
 //! that time, its list of ends is lost, and only that owner can tell its successor which tasks are
@@ -23,21 +23,21 @@
         self.saver.unsaved().into_iter().map(unsaved).collect()
     }
 
-    /// await_handover makes inherited tasks wait until the earlier owner has been asked for
-    /// progress that it could not save.
+    /// await_handover makes inherited tasks wait until the predecessor has been asked for progress
+    /// that it could not save.
     pub fn await_handover(&mut self) {
         self.ownership.awaits_handover = true;
     }
 
-    /// handle_predecessor_answer applies the answer of the earlier owner and lets inherited tasks
+    /// handle_predecessor_answer applies the answer of the predecessor and lets inherited tasks
     /// start.
     pub(crate) fn handle_predecessor_answer(&mut self, unsaved: &[Unsaved]) {
         self.ownership.awaits_handover = false;
-        self.place_wanted = true;
+        self.placement_due = true;
         self.apply_handover(unsaved);
     }
 
-    /// apply_handover applies progress that an earlier owner could not save.
+    /// apply_handover applies progress that a predecessor could not save.
     pub(crate) fn apply_handover(&mut self, unsaved: &[Unsaved]) {
         let mut done = 0;
         for Unsaved { job, progress } in unsaved {
@@ -49,7 +49,7 @@
         }
         if !unsaved.is_empty() {
             let text = format!(
-                "an earlier owner had unsaved progress of {} jobs, which shows {done} more \
+                "a predecessor had unsaved progress of {} jobs, which shows {done} more \
                  tasks as done",
                 unsaved.len()
             );
@@ -57,7 +57,7 @@
         }
     }
 
-    /// merge_progress adds the progress that an earlier owner had of a job, and returns how many
+    /// merge_progress adds the progress that a predecessor had of a job, and returns how many
     /// tasks it shows to be done.
     fn merge_progress(&mut self, key: JobKey, progress: &Progress) -> usize {
         let job = self.job(key);
@@ -99,7 +99,7 @@
         (!self.task(task).done).then_some(task)
     }
 
-    /// merge_checkpoint applies a checkpoint of the earlier owner, unless a run of the task has
+    /// merge_checkpoint applies a checkpoint of the predecessor, unless a run of the task has
     /// begun since.
     fn merge_checkpoint(&mut self, key: JobKey, checkpoint: &Checkpoint) {
         let first_run = self.first_run();
--- a/crates/stackpier-cell/src/health.rs
+++ b/crates/stackpier-cell/src/health.rs
@@ -57,10 +57,10 @@
         self.blocked_until = self.blocked_until.max(now.plus(ms));
     }
 
-    /// allows_start reports whether a start is allowed. `unproved` counts the runs that were
+    /// allows_start reports whether a start is allowed. `unproven` counts the runs that were
     /// started and have shown no progress yet.
-    pub(crate) fn allows_start(&self, now: Millis, unproved: impl Fn() -> usize) -> bool {
-        now >= self.blocked_until && (!self.probing || unproved() == 0)
+    pub(crate) fn allows_start(&self, now: Millis, unproven: impl Fn() -> usize) -> bool {
+        now >= self.blocked_until && (!self.probing || unproven() == 0)
     }
 
     /// has_recent_success reports whether a run has succeeded on the worker and none has failed
--- a/crates/stackpier-cell/src/interference.rs
+++ b/crates/stackpier-cell/src/interference.rs
@@ -4,14 +4,15 @@
 //!
 //! A serving task's tail latency grows as its queue does: it is the unloaded tail divided by
 //! the share of the task's capacity that is free. So its *load*, the share in use, follows from
-//! its tail. Samples of user traffic show that the load is the task's *own load* plus, for each
-//! best-effort image on the worker, a coefficient times the processors that its tasks use. Each
-//! coefficient has a mean and a variance. A Kalman filter with independent terms corrects them
-//! with every sample.
+//! its tail. Samples of client traffic show that the load is the task's *own load* plus, for
+//! each best-effort image on the worker, a coefficient times the processors that its tasks use.
+//! Each coefficient has a mean and a variance. A Kalman filter with independent terms corrects
+//! them with every sample.
 
 use crate::{arena::ImageKey, interner::Interner};
 
-/// TARGET_FACTOR is the ratio of the target to the unloaded tail: six in the users' workloads.
+/// TARGET_FACTOR is the ratio of the target to the unloaded tail: six in the client accounts'
+/// workloads.
 const TARGET_FACTOR: f64 = 6.0;
 /// LOAD_AT_TARGET is the load at which the tail is at its target.
 pub const LOAD_AT_TARGET: f64 = 1.0 - 1.0 / TARGET_FACTOR;
@@ -45,7 +46,7 @@
 /// Options are the constants of the filter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// The initial coefficient of a pair, for one core. In samples of user traffic most pairs
+    /// The initial coefficient of a pair, for one core. In samples of client traffic most pairs
     /// have 0.002 to 0.01 and a few 0.03 to 0.09.
     pub pair: Estimate,
     /// The variance of one sample around the expected load. It is high because samples follow
--- a/crates/stackpier-cell/src/job.rs
+++ b/crates/stackpier-cell/src/job.rs
@@ -31,7 +31,7 @@
     pub tasks: u32,
     /// Tasks that are not done.
     pub left: u32,
-    /// Whether an earlier owner may have started its tasks.
+    /// Whether a predecessor may have started its tasks.
     pub inherited: bool,
     /// When it should be done, by the owner's monotonic clock.
     pub objective: Millis,
@@ -86,7 +86,7 @@
     /// Since when none of its tasks has run, or when it became ready.
     pub idle_since: Millis,
     /// When it became ready.
-    pub released: Millis,
+    pub ready_since: Millis,
     /// How many workers it has reserved.
     pub reservations: u32,
     /// Whether the step is in a placement queue.
@@ -122,8 +122,8 @@
     pub checkpoint: Option<String>,
     /// The evidence that it causes workers to crash.
     pub suspect: Option<Box<Suspect>>,
-    /// Whether a run of it was presumed to have ended with a silent worker's lease. A later
-    /// owner may then learn from that worker that the task is done.
+    /// Whether a run of it was presumed to have ended with a silent worker's lease. A successor
+    /// may then learn from that worker that the task is done.
     pub presumed_ended: bool,
     /// The workers on which it failed last, so that the next run goes elsewhere.
     pub failed_on: Vec<WorkerKey>,
--- a/crates/stackpier-cell/src/learn.rs
+++ b/crates/stackpier-cell/src/learn.rs
@@ -13,7 +13,7 @@
 /// SAMPLE_AGE_MS is the mean age of a report's figures: they cover the last half second.
 const SAMPLE_AGE_MS: u64 = 250;
 /// SAMPLE_VARIANCE is the variance of one task's sample around its step's load, from samples of
-/// user traffic.
+/// client traffic.
 const SAMPLE_VARIANCE: f64 = 0.004;
 /// SATURATED_LOAD is the load from which a sample tells too little about the own load.
 const SATURATED_LOAD: f64 = 0.9;
--- a/crates/stackpier-cell/src/lifecycle.rs
+++ b/crates/stackpier-cell/src/lifecycle.rs
@@ -18,7 +18,7 @@
 const EXPIRY_OBJECTIVES: u64 = 3;
 
 impl Cell {
-    /// accept adds a job that is in the store, with the progress that an earlier owner saved. A
+    /// accept adds a job that is in the store, with the progress that a predecessor saved. A
     /// job that is already known is left unchanged.
     pub(crate) fn accept(
         &mut self,
@@ -28,7 +28,7 @@
         cancelled: bool,
     ) {
         if record.fence > self.fence {
-            // The job was accepted under a later owner, which starts its tasks. The watch that
+            // The job was accepted under a successor, which starts its tasks. The watch that
             // reports that owner is another one, and may be seconds late.
             self.depose();
             return;
@@ -52,7 +52,7 @@
         if self.cancelled.remove(&id) || cancelled {
             self.cancel(id);
         }
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 
     /// add_job adds a job with the steps of all its rounds.
@@ -120,7 +120,7 @@
             ready: Vec::new(),
             runs: 0,
             idle_since: self.now.mono,
-            released: self.now.mono,
+            ready_since: self.now.mono,
             reservations: 0,
             queued: false,
             chain_ms,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// restore applies the progress of a job that an earlier owner saved.
+    /// restore applies the progress of a job that a predecessor saved.
     fn restore(&mut self, key: JobKey, progress: &Progress) {
         let now = self.now.mono;
         let job = self.job_mut(key);
@@ -204,7 +204,7 @@
         }
         let now = self.now.mono;
         self.step_mut(key).idle_since = now;
-        self.step_mut(key).released = now;
+        self.step_mut(key).ready_since = now;
         let step = self.step_of(key);
         for task in (step.first_task.0..step.first_task.0 + step.count).map(TaskKey) {
             self.make_ready(task);
@@ -243,7 +243,7 @@
             entry.queued = true;
             self.enqueue(step, best_effort);
         }
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 
     /// mark_running records that a task of a job has started.
@@ -260,8 +260,8 @@
         if self.task(key).done {
             return false;
         }
-        // The task may be waiting to be placed: a copy has done its work, or restoring an
-        // earlier owner's progress released its step before the task itself was marked as done.
+        // The task may be waiting to be placed: a copy has done its work, or restoring a
+        // predecessor's progress released its step before the task itself was marked as done.
         self.unqueue(key);
         let task = self.task_mut(key);
         task.done = true;
--- a/crates/stackpier-cell/src/maintenance.rs
+++ b/crates/stackpier-cell/src/maintenance.rs
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Maintenance: takes hosts of workers down for a while at the operators' request.
 //!
-//! A plan names hosts, the time within which each must have been down once, and
-//! how many may be down at once. A host is emptied first: its worker gets no
-//! starts, long-running tasks are stopped as far as their steps tolerate absent
-//! tasks, tasks with checkpoints are stopped, and the others get some time to
-//! end. Then the host is ordered down. It is done when a new incarnation of its
-//! worker has answered. The store keeps which hosts went down, so that a
-//! successor continues from there.
+//! A plan names hosts, the time within which each must have been down once, and how
+//! many may be down at once. A host is emptied first: its worker gets no starts,
+//! long-running tasks are stopped as far as their steps tolerate missing tasks, tasks
+//! with checkpoints are stopped, and the others get some time to end. Then the host is
+//! ordered down. It is done when a new incarnation of its worker has answered. The
+//! store keeps which hosts went down, so that a successor continues from there.
 
 mod empty;
 mod order;
@@ -56,9 +55,9 @@
 }
 
 impl Cell {
-    /// take_downs_from returns the earliest time at which an owner orders hosts
-    /// down. After a take-over it waits until its predecessor has stopped, so
-    /// that the orders of two owners never alternate.
+    /// take_downs_from returns the earliest time at which an owner orders hosts down.
+    /// After a takeover it waits until its predecessor has stopped, so that the orders
+    /// of two owners never alternate.
     pub(crate) fn take_downs_from(options: &Options, now: Millis, fence: u64) -> Millis {
         let gap_ms = if fence > FIRST_FENCE {
             options.take_down_gap_ms
@@ -69,7 +68,7 @@
     }
 
     /// add_plan adds a plan of operators, unless it is known. It resumes a plan that
-    /// earlier owners began.
+    /// predecessors began.
     pub(crate) fn add_plan(&mut self, plan: Plan) {
         let known = |rollout: &Rollout| rollout.plan.number == plan.number;
         if self.maintenance.iter().any(known) {
@@ -92,7 +91,7 @@
         self.saver.maintenance_changed = true;
     }
 
-    /// resume_maintenance sets the progress that earlier owners recorded.
+    /// resume_maintenance sets the progress that predecessors recorded.
     pub fn resume_maintenance(&mut self, records: Vec<Record>) {
         self.inherited_maintenance = records;
     }
@@ -158,8 +157,8 @@
         }
     }
 
-    /// next_hosts returns the waiting hosts of a plan that have a worker, those
-    /// with the fewest processors reserved by long-running tasks first.
+    /// next_hosts returns the waiting hosts of a plan that have a worker, those with
+    /// the fewest processors allocated to long-running tasks first.
     fn next_hosts(&self, plan: usize) -> Vec<HostKey> {
         let hosts = self.maintenance[plan].hosts.iter().enumerate();
         let now = self.now.mono;
--- a/crates/stackpier-cell/src/maintenance/empty.rs
+++ b/crates/stackpier-cell/src/maintenance/empty.rs
@@ -76,19 +76,19 @@
     }
 
     /// may_interrupt reports whether a long-running task may be stopped: fewer of
-    /// its step's other tasks are away than the step tolerates.
+    /// its step's other tasks are missing than the step tolerates.
     pub(crate) fn may_interrupt(&self, key: RunKey) -> bool {
         let Some(run) = self.runs.get(key) else {
             return false;
         };
-        let Some(max_away) = self.step_spec(run.step).may_miss else {
+        let Some(max_missing) = self.step_spec(run.step).may_miss else {
             return true;
         };
         let step = self.step_of(run.step);
         let tasks = (step.first_task.0..step.first_task.0 + step.count).map(TaskKey);
         let others = tasks.filter(|task| *task != run.task);
-        let away = others.filter(|task| !self.is_working(*task)).count();
-        (away as u32) < max_away
+        let missing = others.filter(|task| !self.is_working(*task)).count();
+        (missing as u32) < max_missing
     }
 
     /// is_working reports whether a long-running task has a run that works, by the
--- a/crates/stackpier-cell/src/maintenance/rollout.rs
+++ b/crates/stackpier-cell/src/maintenance/rollout.rs
@@ -47,7 +47,7 @@
     },
     /// It has been down and has returned, or did not return in time.
     Done,
-    /// It is not known, or has had no worker for long.
+    /// It is not known, or has had no worker for a long time.
     Gone,
 }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /// resume applies the progress that earlier owners recorded.
+    /// resume applies the progress that predecessors recorded.
     pub(super) fn resume(&mut self, record: &Record) {
         self.completed = record.completed;
         let was_down = |host: &&mut Host| record.down.contains(&host.name);
--- a/crates/stackpier-cell/src/mechanism.rs
+++ b/crates/stackpier-cell/src/mechanism.rs
@@ -25,9 +25,10 @@
     Unused,
     /// The pace of best-effort tasks is lowered and raised with the load of serving tasks.
     Pace,
-    /// Best-effort tasks beside a serving task that was over its target for long are moved or paused.
+    /// Best-effort tasks beside a serving task that was over its target for a long time are moved
+    /// or paused.
     Relief,
-    /// Best-effort tasks that were slowed to a low pace for long are moved.
+    /// Best-effort tasks that were slowed to a low pace for a long time are moved.
     Moves,
     /// Long-running tasks go first once they have waited.
     LongRunningFirst,
@@ -48,8 +49,8 @@
     Stall,
     /// Lagging runs are copied.
     Copies,
-    /// Steps that have had nothing running for long get one task started without the
-    /// limits that protect others.
+    /// Steps that have had nothing running for a long time get one task started without the limits
+    /// that protect others.
     Starving,
     /// Serving tasks are moved off some workers, for best-effort tasks that disturb most
     /// serving images.
@@ -58,7 +59,7 @@
     Dedicated,
     /// Long-running tasks get time slices where not all of them fit.
     Rotation,
-    /// Capacity is reserved for tasks that have waited for long.
+    /// Capacity is reserved for tasks that have waited for a long time.
     Reservations,
     /// The effect of best-effort images on serving ones, and the own load of serving
     /// tasks, are learnt.
--- a/crates/stackpier-cell/src/model_snapshot.rs
+++ b/crates/stackpier-cell/src/model_snapshot.rs
@@ -7,8 +7,8 @@
 
 use crate::{Cell, Mechanism, interference::Estimate};
 
-/// SAVE_MS is the least time between two saves of the model. A pair is known after
-/// some seconds, and the snapshot is part of saves that are made anyway.
+/// SAVE_MS is the shortest time between two saves of the model. A pair is known
+/// after some seconds, and the snapshot is part of saves that are made anyway.
 const SAVE_MS: u64 = 1_500;
 
 /// SavedEstimate is one learnt value, as it is stored.
--- a/crates/stackpier-cell/src/options.rs
+++ b/crates/stackpier-cell/src/options.rs
@@ -35,7 +35,7 @@
     pub stop_retry_ms: u64,
     /// The longest time a worker takes to stop a run.
     pub stop_ms: u64,
-    /// The least time between two saves, so that ends are saved together.
+    /// The shortest time between two saves, so that ends are saved together.
     pub save_gap_ms: u64,
     /// The pause before a failed save is tried again.
     pub save_retry_ms: u64,
@@ -50,7 +50,7 @@
     pub stale_entry_ms: u64,
     /// How much earlier than its due time a round may start.
     pub early_ms: u64,
-    /// Share of its reservation that a serving task is assumed to use, in
+    /// Share of the processors it asked for that a serving task is assumed to use, in
     /// thousandths.
     pub serving_usage_milli: u32,
     /// The highest expected rise in the number of serving tasks over target
@@ -63,8 +63,8 @@
     /// How much run time of a best-effort task without checkpoints may be lost by
     /// moving it.
     pub max_move_loss_ms: u64,
-    /// How long after a take-over no host is ordered down, so that the orders of
-    /// two owners for one host never alternate.
+    /// How long after a takeover no host is ordered down, so that the orders of two
+    /// owners for one host never alternate.
     pub take_down_gap_ms: u64,
     /// A run without progress for this long is moved; a tenth of the task's estimate
     /// is added.
--- a/crates/stackpier-cell/src/order.rs
+++ b/crates/stackpier-cell/src/order.rs
@@ -91,9 +91,9 @@
             cleared: false,
             recorded: false,
             after_save: None,
-            stop_accepted: None,
+            stop_accepted_at: None,
             stop_sent: false,
-            stop_after: Millis(0),
+            stop_retry_at: Millis(0),
             saved: String::new(),
             percent: 0,
             progressed_at: self.now.mono,
@@ -150,7 +150,7 @@
         };
         run.phase = Phase::Stopping;
         let is_gone = self.workers[run.worker.0 as usize].presence == Presence::Gone;
-        let is_pending = run.stop_sent || run.stop_accepted.is_some() || now < run.stop_after;
+        let is_pending = run.stop_sent || run.stop_accepted_at.is_some() || now < run.stop_retry_at;
         if is_gone || is_pending || !authority {
             return;
         }
@@ -233,10 +233,10 @@
         let worker = run.worker;
         match outcome {
             Stopped::Yes => {
-                run.stop_accepted = Some(now);
+                run.stop_accepted_at = Some(now);
                 self.renew_now(worker);
             }
-            Stopped::Silent => run.stop_after = now.plus(retry),
+            Stopped::Silent => run.stop_retry_at = now.plus(retry),
             Stopped::Fenced => self.depose(),
             Stopped::OtherLife => {
                 self.end_incarnation(worker, "its address answers for another incarnation")
--- a/crates/stackpier-cell/src/pace.rs
+++ b/crates/stackpier-cell/src/pace.rs
@@ -27,8 +27,8 @@
 /// takes a call to the worker.
 const MIN_RAISE: u8 = 30;
 /// MAX_OVER_TARGET_MS is how long a serving task may be over its target before all best-effort
-/// tasks on its worker are paused or moved. Users count harm from four seconds; the order, its
-/// effect and the report that shows it take about one.
+/// tasks on its worker are paused or moved. Client accounts count harm from four seconds; the
+/// order, its effect and the report that shows it take about one.
 const MAX_OVER_TARGET_MS: u64 = 2_400;
 /// MOVE_CONTRIBUTION is the load that a best-effort task must add to a serving task over its
 /// target to be moved instead of paused.
@@ -265,7 +265,7 @@
         u64::from(spec.estimate_ms) * u64::from(run.percent) / 100
     }
 
-    /// move_slowed moves the tasks whose pace has been low for long.
+    /// move_slowed moves the tasks whose pace has been low for a long time.
     fn move_slowed(&mut self, worker: WorkerKey) {
         if !self.is_enabled(Mechanism::Moves) {
             return;
--- a/crates/stackpier-cell/src/place.rs
+++ b/crates/stackpier-cell/src/place.rs
@@ -33,11 +33,11 @@
 /// BEST_EFFORT_GAP_MS is the shortest time between the starts of two passes over best-effort
 /// tasks.
 const BEST_EFFORT_GAP_MS: u64 = 40;
-/// MAX_TRIED is how many kinds of best-effort tasks may find no worker before a pass ends. The
+/// MAX_REJECTED is how many kinds of best-effort tasks may find no worker before a pass ends. The
 /// next pass continues with the kinds after them.
-const MAX_TRIED: usize = 40;
+const MAX_REJECTED: usize = 40;
 /// LONG_RUNNING_FIRST_MS is how long a long-running task waits before it goes ahead of all
-/// others of its priority: users count it as lost from six seconds after its last run.
+/// others of its priority: client accounts count it as lost from six seconds after its last run.
 const LONG_RUNNING_FIRST_MS: u64 = 3_000;
 /// TRUST_MS is how long a task that may fail only once more waits for a worker with a recent
 /// success, before it goes to one without recent faults. After twice this time it goes to any
@@ -87,8 +87,8 @@
         if !self.has_authority() {
             return;
         }
-        let wanted = std::mem::take(&mut self.place_wanted);
-        if wanted {
+        let is_due = std::mem::take(&mut self.placement_due);
+        if is_due {
             self.guaranteed_pass.due = true;
             self.best_effort_pass.due = true;
         }
@@ -99,7 +99,7 @@
         }
         self.place_guaranteed();
         self.place_best_effort();
-        if wanted {
+        if is_due {
             self.poll_for_suspects();
         }
     }
--- a/crates/stackpier-cell/src/place/candidate.rs
+++ b/crates/stackpier-cell/src/place/candidate.rs
@@ -22,8 +22,8 @@
 const SAME_IMAGE_SCORE: f64 = 200.0;
 /// EMPTY_SCORE favours a worker that serves nothing over one that serves other images.
 const EMPTY_SCORE: f64 = 100.0;
-/// EVACUATED_SCORE is deducted for a worker that is kept free of serving tasks, so that any
-/// other with enough free capacity comes first.
+/// EVACUATED_SCORE is deducted for an evacuated worker, so that any other with enough free capacity
+/// comes first.
 const EVACUATED_SCORE: f64 = 10_000.0;
 /// DEDICATED_SCORE favours a worker that is dedicated to short tasks. It outweighs the packing
 /// score.
--- a/crates/stackpier-cell/src/place/pass.rs
+++ b/crates/stackpier-cell/src/place/pass.rs
@@ -7,7 +7,7 @@
 use crate::{
     Cell,
     arena::{StepKey, WorkerKey},
-    place::{Budget, Demand, MAX_TRIED, Outcome},
+    place::{Budget, Demand, MAX_REJECTED, Outcome},
 };
 
 /// STALE_MS is the maximum age of a pass that waits for answers to starts. Then a new pass
@@ -101,7 +101,7 @@
     pub began: Millis,
     /// Whether the pass waits for answers to starts.
     awaits_answers: bool,
-    /// Workers whose predictions are still to be renewed.
+    /// Workers whose predictions are still to be refreshed.
     workers: Vec<WorkerKey>,
     /// Steps still to be tried, the next one last.
     steps: Vec<StepKey>,
@@ -180,7 +180,7 @@
 
     /// has_reached_limit reports whether as many kinds as a pass may try have found no worker.
     fn has_reached_limit(&self) -> bool {
-        self.rejected.len() - self.carried_over >= MAX_TRIED
+        self.rejected.len() - self.carried_over >= MAX_REJECTED
     }
 
     /// reset_rejected prepares the rejected demands for a new pass. Those of the previous pass
@@ -322,7 +322,7 @@
         self.best_effort_pass.awaits_answers |= self.flow.is_full();
         while !self.best_effort_pass.budget.is_spent() && !self.flow.is_full() {
             if let Some(worker) = self.best_effort_pass.workers.pop() {
-                self.renew_predictions(worker);
+                self.refresh_predictions(worker);
             } else if let Some(step) = self.best_effort_pass.steps.pop() {
                 self.try_best_effort(step);
             } else if !self.best_effort_pass.starving_listed {
@@ -338,7 +338,7 @@
         self.best_effort_pass.awaits_answers |= self.flow.is_full();
     }
 
-    fn renew_predictions(&mut self, key: WorkerKey) {
+    fn refresh_predictions(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         if worker.long_running_milli > 0 || !worker.predictions.is_empty() {
             self.update_predictions(key);
--- a/crates/stackpier-cell/src/place/starvation.rs
+++ b/crates/stackpier-cell/src/place/starvation.rs
@@ -3,10 +3,10 @@
 //!
 //! Limits that protect other tasks keep best-effort tasks from workers: expected harm to serving
 //! tasks, memory kept free, processors in use. Each is an estimate or a margin that may stay in
-//! force forever, and the model learns nothing of a task that does not run. So a step that has
-//! had nothing running for long gets one task started regardless of these limits, where the
-//! least harm is expected. From then on its pace protects the serving tasks, as that of any
-//! other best-effort run does.
+//! force forever, and the model learns nothing of a task that does not run. So a step that has had
+//! nothing running for a long time gets one task started regardless of these limits, where the
+//! least harm is expected. From then on its pace protects the serving tasks, as that of any other
+//! best-effort run does.
 
 use std::cmp::Reverse;
 
@@ -19,7 +19,7 @@
 use super::{Demand, Outcome};
 
 /// STARVED_MS is how long a ready step may have nothing running while half of its service is
-/// unused: users count a job as lost from three seconds on.
+/// unused: client accounts count a job as lost from three seconds on.
 const STARVED_MS: u64 = 2_000;
 /// LOADED_STARVED_MS is the same limit while more than half is in use. Capacity comes and goes
 /// then, and a start regardless of the limits harms other tasks: two seconds here, too, cost
@@ -29,8 +29,8 @@
 /// half second, so the effect of one start is seen before the next.
 const SETTLE_MS: u64 = 600;
 
-/// PRIOR_WAIT_MS is how long a task of an inherited job is assumed to have waited under an earlier
-/// owner.
+/// PRIOR_WAIT_MS is how long a task of an inherited job is assumed to have waited under a
+/// predecessor.
 const PRIOR_WAIT_MS: u64 = 3_000;
 
 /// MILLI is the number of thousandths in a whole.
@@ -60,9 +60,9 @@
 }
 
 impl Cell {
-    /// find_starving returns the steps that starve, the longest waiting last. One task of each
-    /// is started if it finds a worker. They come after everything that the limits allow, as
-    /// steps that have waited for long are late in any case: trying them first gave 0.003 and
+    /// find_starving returns the steps that starve, the longest waiting last. One task of each is
+    /// started if it finds a worker. They come after everything that the limits allow, as steps
+    /// that have waited for a long time are late in any case: trying them first gave 0.003 and
     /// 0.006 less goodput on two deployments, within the noise of single runs.
     pub(super) fn find_starving(&mut self) -> Vec<StepKey> {
         if !self.is_enabled(Mechanism::Starving) {
@@ -98,7 +98,7 @@
         let task = self.task(key);
         let step = self.step_of(task.step);
         let inherited = self.job(step.job).inherited;
-        let waited_ms = self.now.mono.since(task.ended.unwrap_or(step.released));
+        let waited_ms = self.now.mono.since(task.ended.unwrap_or(step.ready_since));
         match task.ended {
             None if inherited => waited_ms + PRIOR_WAIT_MS,
             _ => waited_ms,
--- a/crates/stackpier-cell/src/prediction.rs
+++ b/crates/stackpier-cell/src/prediction.rs
@@ -13,7 +13,7 @@
 };
 
 /// HORIZONS_MS are the times ahead for which loads are predicted: a best-effort task of the
-/// users' workloads runs for two to three seconds.
+/// client accounts' workloads runs for two to three seconds.
 const HORIZONS_MS: [u64; 3] = [300, 1_200, 2_400];
 /// HORIZON_COUNT is the number of these times.
 const HORIZON_COUNT: usize = HORIZONS_MS.len();
@@ -22,8 +22,8 @@
 /// DEVIATION_DECAY is the part of a task's deviation from its step's load that remains at each
 /// of these times.
 const DEVIATION_DECAY: [f64; HORIZON_COUNT] = [0.6, 0.15, 0.0];
-/// DEVIATION_VARIANCE is the variance of a task's load around its step's, from samples of user
-/// traffic.
+/// DEVIATION_VARIANCE is the variance of a task's load around its step's, from samples of
+/// client traffic.
 const DEVIATION_VARIANCE: f64 = 0.002;
 /// HARM_LOAD is the load above which a task counts as over its target. It is a little below the
 /// load at the target, as reports lag.
--- a/crates/stackpier-cell/src/received.rs
+++ b/crates/stackpier-cell/src/received.rs
@@ -31,8 +31,8 @@
     pub last: u64,
 }
 
-/// Gap is a range of end numbers that no report has listed although higher ones were listed. An
-/// earlier owner may have acknowledged them, so that the worker has forgotten them.
+/// Gap is a range of end numbers that no report has listed although higher ones were listed. A
+/// predecessor may have acknowledged them, so that the worker has forgotten them.
 #[derive(Clone, Copy, Debug)]
 struct Gap {
     /// When the gap was first seen.
--- a/crates/stackpier-cell/src/renewal.rs
+++ b/crates/stackpier-cell/src/renewal.rs
@@ -20,8 +20,8 @@
 /// just been started there. Reports clear the task, and other starts wait for that.
 const ISOLATED_MS: u64 = 100;
 
-/// SHORTEST_RUN_MS is the least time in which a worker that has just restarted can begin, carry out
-/// and end a run.
+/// SHORTEST_RUN_MS is the shortest time in which a worker that has just restarted can begin, carry
+/// out and end a run.
 const SHORTEST_RUN_MS: u64 = 100;
 
 /// STORE_SILENT_MS is the time without an answer of the store after which the log shows what
@@ -115,19 +115,19 @@
         self.log("report", None, text);
     }
 
-    /// next_ack returns the number up to which a worker is told to forget its ends, or zero. Each
-    /// number is sent only once, because another incarnation that has replaced the worker would
-    /// forget ends of its own that no owner has received. That incarnation can have ends only of
-    /// starts that the known incarnation is not known to have taken. So while there are such
-    /// starts, a number is sent only if the worker has just answered.
+    /// next_ack returns the number up to which a worker may forget its ends, or zero. Each number
+    /// is sent only once, because another incarnation that has replaced the worker would forget
+    /// ends of its own that no owner has received. That incarnation can have ends only of starts
+    /// that the known incarnation is not known to have accepted. So while there are such starts, a
+    /// number is sent only if the worker has just answered.
     fn next_ack(&self, key: WorkerKey) -> u64 {
         let worker = self.worker(key);
         let now = self.now.mono;
         let is_recent = |clock: Clock| now.since(clock.at) < SHORTEST_RUN_MS;
-        let took_start =
+        let accepted_start =
             |run: &Run| run.reported || run.confirmed.is_some_and(|at| at < worker.reported);
         let mut runs = worker.runs.iter().filter_map(|key| self.runs.get(*key));
-        let is_certain = worker.clock.is_some_and(is_recent) || runs.all(took_start);
+        let is_certain = worker.clock.is_some_and(is_recent) || runs.all(accepted_start);
         if worker.acked > worker.ack_confirmed && worker.is_responsive() && is_certain {
             worker.acked
         } else {
@@ -154,7 +154,9 @@
             Renewed::Report(_) if sent < self.worker(key).reported => {}
             Renewed::Report(report) => self.apply_report(key, sent, report),
             Renewed::Fenced => self.depose(),
-            Renewed::OtherLife => self.end_incarnation(key, "its address answers for another life"),
+            Renewed::OtherLife => {
+                self.end_incarnation(key, "its address answers for another incarnation")
+            }
             Renewed::Silent if is_latest && self.is_latest(key) => self.record_no_answer(key),
             Renewed::Silent => {}
         }
--- a/crates/stackpier-cell/src/report.rs
+++ b/crates/stackpier-cell/src/report.rs
@@ -31,7 +31,7 @@
         }
         self.mark_contacted(key);
         // Suspects start on workers that have just answered.
-        self.place_wanted |= self.has_waiting_suspects();
+        self.placement_due |= self.has_waiting_suspects();
         self.learn_from_report(key);
         self.adjust_paces(key);
         if report_needed || self.worker(key).announced.is_some() {
@@ -57,14 +57,14 @@
         }
     }
 
-    /// update_inheritance records that a report arrived which shows an earlier owner's runs,
-    /// and reports whether another report is needed at once.
+    /// update_inheritance records that a report arrived which shows a predecessor's runs, and
+    /// reports whether another report is needed at once.
     fn update_inheritance(&mut self, key: WorkerKey, sent: Millis, whole: bool) -> bool {
         let now = self.now.mono;
         let worker = self.worker_mut(key);
         let before = worker.is_inherited();
         let report_needed = worker.update_inheritance(sent, now, whole);
-        self.place_wanted |= before && !self.worker(key).is_inherited();
+        self.placement_due |= before && !self.worker(key).is_inherited();
         report_needed
     }
 
@@ -82,7 +82,7 @@
         );
         self.log("worker", None, text);
         self.saver.roster_changed = true;
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 
     /// apply_run_status applies the status of one run in a report.
@@ -117,7 +117,7 @@
         let others = self.task(task).runs.len() > 1;
         let copies = self.step_spec(self.task(task).step).speculative;
         let over = self.task(task).done || self.job_of(task).state.is_final();
-        let text = "adopted a run of an earlier owner".to_owned();
+        let text = "adopted a run of a predecessor".to_owned();
         self.log("takeover", Some(self.name(task)), text);
         if over || (others && !copies) {
             self.stop(run);
@@ -217,6 +217,7 @@
         } else {
             0
         };
-        run.stop_accepted.is_some_and(|at| sent > at.plus(wait_ms))
+        run.stop_accepted_at
+            .is_some_and(|at| sent > at.plus(wait_ms))
     }
 }
--- a/crates/stackpier-cell/src/reservation.rs
+++ b/crates/stackpier-cell/src/reservation.rs
@@ -4,8 +4,8 @@
 //! A large task finds no worker with enough free capacity while smaller ones take each piece
 //! that is freed, and a job of many tasks stays last in the order of placement while others
 //! have fewer left. So capacity that is freed soon is reserved for steps that have waited for
-//! long, and other tasks may use only what is left beside it. A reservation expires after a
-//! short time, so that nothing is kept for tasks that start elsewhere.
+//! a long time, and other tasks may use only what is left beside it. A reservation expires
+//! after a short time, so that nothing is kept for tasks that start elsewhere.
 
 use std::cmp::Reverse;
 
@@ -21,9 +21,9 @@
 /// RESERVATION_MS is how long a reservation lasts: as long as a stop, or most short tasks,
 /// take.
 const RESERVATION_MS: u64 = 1_500;
-/// RESERVABLE_PART is the part of the workers used by short tasks, one in so many, that may be
-/// reserved for these. The others go to whatever is first in the order of placement.
-const RESERVABLE_PART: usize = 2;
+/// RESERVABLE_DIVISOR sets the part of the workers used by short tasks, one in this many, that may
+/// be reserved for these. The others go to whatever is first in the order of placement.
+const RESERVABLE_DIVISOR: usize = 2;
 /// MAX_RESERVING_STEPS is how many steps may reserve capacity at a time.
 const MAX_RESERVING_STEPS: usize = 32;
 
@@ -169,7 +169,7 @@
         let reservations = used
             .iter()
             .filter(|key| self.worker(**key).reservation.is_some());
-        (used.len() / RESERVABLE_PART)
+        (used.len() / RESERVABLE_DIVISOR)
             .max(1)
             .saturating_sub(reservations.count())
     }
--- a/crates/stackpier-cell/src/restart.rs
+++ b/crates/stackpier-cell/src/restart.rs
@@ -136,8 +136,8 @@
         worker.deadline_ms = clock_ms + max_lease_ms;
     }
 
-    /// log_misdirected_ack logs that a new incarnation was told to forget ends of the earlier one:
-    /// it may have forgotten some of its own.
+    /// log_misdirected_ack logs that a new incarnation was sent an acknowledgement of ends of the
+    /// earlier one: it may have forgotten some of its own.
     fn log_misdirected_ack(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         if worker.acking > 0 {
@@ -179,7 +179,7 @@
     /// move_unreported_runs moves runs that no report of the earlier incarnation has shown to the
     /// new one, which is then checked for them. Orders name a worker only by its id, so a start
     /// meant for the earlier incarnation may have reached the new one. If it has not, the earlier
-    /// incarnation may have reported the end of the run to a later owner.
+    /// incarnation may have reported the end of the run to a successor.
     fn move_unreported_runs(&mut self, earlier: WorkerKey, later: WorkerKey) {
         for key in self.worker(earlier).runs.clone() {
             if self.is_sent(key) && !self.is_reported(key) {
@@ -200,7 +200,7 @@
         };
         self.workers[run.worker.0 as usize].remove(key, run);
         run.worker = to;
-        run.stop_accepted = None;
+        run.stop_accepted_at = None;
         if run.phase == Phase::Running {
             run.phase = Phase::Unsure(now);
         }
--- a/crates/stackpier-cell/src/roster.rs
+++ b/crates/stackpier-cell/src/roster.rs
@@ -12,7 +12,7 @@
 };
 
 impl Cell {
-    /// add_roster adds a worker that an earlier owner may have used.
+    /// add_roster adds a worker that a predecessor may have used.
     pub fn add_roster(&mut self, entry: &RosterEntry) {
         if self.worker_keys.contains_key(&entry.id) {
             return;
@@ -39,7 +39,7 @@
         self.renew_now(key);
     }
 
-    /// set_roster_unknown records that the workers which earlier owners used are not known, so that
+    /// set_roster_unknown records that the workers which predecessors used are not known, so that
     /// tasks wait until everything leased by those owners has expired.
     pub fn set_roster_unknown(&mut self) {
         self.ownership.roster_unknown = true;
@@ -84,7 +84,7 @@
             self.log("worker", None, text);
             self.check_drains();
         }
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 
     /// add_worker adds a new worker and asks it for a report.
@@ -224,7 +224,7 @@
     }
 
     /// give_up_unreachable gives up a worker that left the list and does not answer, once nothing
-    /// can run there any more, so that a later owner does not wait for it.
+    /// can run there any more, so that a successor does not wait for it.
     fn give_up_unreachable(&mut self, key: WorkerKey) {
         let now = self.now.mono;
         let worker = self.worker(key);
@@ -241,8 +241,8 @@
         }
     }
 
-    /// deregister removes a worker that has left from the roster. Otherwise a later owner would
-    /// wait for its answer, and for longer than its lease if it never comes.
+    /// deregister removes a worker that has left from the roster. Otherwise a successor would wait
+    /// for its answer, and for longer than its lease if it never comes.
     fn deregister(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         if worker.presence == Presence::Contacted && worker.rostered && self.has_left(worker) {
@@ -253,7 +253,7 @@
 
     /// has_left reports whether a worker gets no more starts, runs nothing, and lists no end that
     /// the store lacks. The roster and the job progress with the last ends may be saved in several
-    /// transactions. If only the roster were saved, a later owner would not wait for the worker and
+    /// transactions. If only the roster were saved, a successor would not wait for the worker and
     /// would start tasks again that have ended there.
     pub(crate) fn has_left(&self, worker: &Worker) -> bool {
         let gone = |since: Millis| self.now.mono.since(since) >= self.options.unlisted_ms;
@@ -290,7 +290,7 @@
         );
         self.log("worker", None, text);
         self.saver.roster_changed = true;
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 
     /// incarnations returns all incarnations of workers, including those that have ended.
--- a/crates/stackpier-cell/src/run.rs
+++ b/crates/stackpier-cell/src/run.rs
@@ -72,11 +72,11 @@
     /// The number of the save that must be done before the start is sent.
     pub(crate) after_save: Option<u64>,
     /// When the worker accepted the order to stop it.
-    pub(crate) stop_accepted: Option<Millis>,
+    pub(crate) stop_accepted_at: Option<Millis>,
     /// Whether an order to stop it is in flight.
     pub(crate) stop_sent: bool,
     /// When the order to stop may be sent again.
-    pub(crate) stop_after: Millis,
+    pub(crate) stop_retry_at: Millis,
     /// The checkpoint that it had saved by the last report.
     pub(crate) saved: String,
     pub(crate) percent: u8,
@@ -97,7 +97,7 @@
     pub(crate) recovered_since: Option<Millis>,
     /// The pace that it was set to, from 0 to 100.
     pub(crate) pace: u8,
-    /// Whether an earlier owner may have set another pace.
+    /// Whether a predecessor may have set another pace.
     pub(crate) pace_unknown: bool,
     /// Whether the worker may have missed the last order for its pace.
     pub(crate) pace_unconfirmed: bool,
@@ -145,8 +145,8 @@
     /// run's pace allows.
     pub(crate) fn exceeds_pace(&self, now: Millis) -> bool {
         let allowed = u32::from((self.pace + PACE_MARGIN_PERCENT).min(100));
-        let most_milli = u64::from(self.size.milli_cores) * u64::from(allowed) / 100;
-        let over = |used_milli: u32| u64::from(used_milli) > most_milli;
+        let max_milli = u64::from(self.size.milli_cores) * u64::from(allowed) / 100;
+        let over = |used_milli: u32| u64::from(used_milli) > max_milli;
         self.pace < 100 && self.is_settled(now) && self.used_milli.is_some_and(over)
     }
 
--- a/crates/stackpier-cell/src/save.rs
+++ b/crates/stackpier-cell/src/save.rs
@@ -68,7 +68,7 @@
     }
 
     /// save_to_await returns the number of the save that a start made now waits for. There is
-    /// none if the last save failed: the store may be unavailable for long.
+    /// none if the last save failed: the store may be unavailable for a long time.
     pub(crate) fn save_to_await(&self) -> Option<u64> {
         (!self.failed).then_some(self.next())
     }
@@ -182,8 +182,7 @@
     }
 
     /// is_roster_due reports whether the roster must be saved. A roster that lacks workers
-    /// which an earlier owner may have used is not saved: the next owner would not wait for
-    /// them.
+    /// which a predecessor may have used is not saved: the successor would not wait for them.
     fn is_roster_due(&self) -> bool {
         self.saver.roster_changed && self.knows_roster()
     }
@@ -208,7 +207,7 @@
     }
 
     /// is_trimmable reports whether nothing of a job can run any more, even where this owner
-    /// can't see it: a successor could not stop it. Runs that only an earlier owner knew, and
+    /// can't see it: a successor could not stop it. Runs that only a predecessor knew, and
     /// runs on workers that do not answer, end with their leases.
     fn is_trimmable(&self, key: JobKey) -> bool {
         let job = self.job(key);
@@ -297,7 +296,7 @@
             let worker = self.worker_mut(key);
             if !worker.rostered && worker.presence == Presence::Contacted {
                 worker.rostered = true;
-                self.place_wanted = true;
+                self.placement_due = true;
             }
         }
         self.ack_saved_ends();
--- a/crates/stackpier-cell/src/silence.rs
+++ b/crates/stackpier-cell/src/silence.rs
@@ -37,8 +37,8 @@
         over && worker.final_renewal.is_some_and(unanswered)
     }
 
-    /// may_report_inherited reports whether a silent worker may still report runs or ends of an
-    /// earlier owner.
+    /// may_report_inherited reports whether a silent worker may still report runs or ends of a
+    /// predecessor.
     pub(crate) fn may_report_inherited(&self, worker: &Worker) -> bool {
         let uncontacted = worker.presence == Presence::New && worker.is_inherited();
         uncontacted && worker.silent_since.is_some() && !self.may_presume_ended(worker)
--- a/crates/stackpier-cell/src/speculate.rs
+++ b/crates/stackpier-cell/src/speculate.rs
@@ -35,9 +35,9 @@
         workers.flat_map(|worker| worker.runs.clone()).collect()
     }
 
-    /// check_stall moves a run that made no progress for long up to the last report of its
-    /// worker. The time since that report does not count: an owner without authority requests
-    /// no reports, and would stop runs that have made progress meanwhile.
+    /// check_stall moves a run that made no progress for a long time up to the last report of its
+    /// worker. The time since that report does not count: an owner without authority requests no
+    /// reports, and would stop runs that have made progress meanwhile.
     fn check_stall(&mut self, key: RunKey) {
         let now = self.now.mono;
         let Some(run) = self.runs.get(key) else {
--- a/crates/stackpier-cell/src/takeover.rs
+++ b/crates/stackpier-cell/src/takeover.rs
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Taking over from an earlier owner, and noticing a later one.
+//! Taking over from a predecessor, and noticing a successor.
 //!
 //! Jobs accepted under an earlier fence may have runs on workers that have not answered this owner
 //! yet. Their tasks wait until each such worker has sent two reports, or until everything leased by
-//! the earlier owner has expired. They also wait until the earlier owner has been asked for
-//! progress that it could not save.
+//! the predecessor has expired. They also wait until the predecessor has been asked for progress
+//! that it could not save.
 //!
-//! A later owner may renew leases that this owner takes for expired, and may acknowledge ends that
-//! this owner never receives. A worker that answers this owner has not been contacted by a later
-//! one. A conclusion from the silence of a worker is valid only after the store has confirmed the
-//! ownership at a later time, and only briefly, because a later owner may contact the worker at any
-//! moment. A task may wait for free capacity for longer than that, so its start needs a recent
+//! A successor may renew leases that this owner takes for expired, and may acknowledge ends that
+//! this owner never receives. A worker that answers this owner has not been contacted by a
+//! successor. A conclusion from the silence of a worker is valid only after the store has confirmed
+//! the ownership at a later time, and only briefly, because a successor may contact the worker at
+//! any moment. A task may wait for free capacity for longer than that, so its start needs a recent
 //! confirmation.
 
 use stackpier_core::Millis;
@@ -21,21 +21,22 @@
     worker::{CLOCK_ERROR_MILLI, Inheritance, Presence, Worker},
 };
 
-/// MARGIN_MS is added to the end of the leases of an earlier owner, for the time that its last call
+/// MARGIN_MS is added to the end of the leases of a predecessor, for the time that its last call
 /// may have been on its way.
 const MARGIN_MS: u64 = 500;
 /// GAP_MS is the time between two confirmations from which on the store counts as having been
 /// unavailable: an idle owner asks every second, and an answer takes 0.6 s at most.
 const GAP_MS: u64 = 2_500;
 /// MAX_CONFIRMATION_AGE_MS is how old the confirmation may be on which a start relies, that is, the
-/// latest sign that no later owner has acknowledged the end of a run of the task. Users accept a
-/// repeated run up to one second after such an end, and a start takes up to 0.2 s to arrive.
+/// latest sign that no successor has acknowledged the end of a run of the task. Client accounts
+/// accept a repeated run up to one second after such an end, and a start takes up to 0.2 s to
+/// arrive.
 pub(crate) const MAX_CONFIRMATION_AGE_MS: u64 = 800;
 /// RUNS_PER_OWNER is the distance between the run numbers of successive owners, so that the numbers
 /// of a new owner are above all those it can't know of.
 const RUNS_PER_OWNER: u64 = 200;
 
-/// Ownership is the state of this daemon's ownership of the cell, and of what an earlier owner left
+/// Ownership is the state of this daemon's ownership of the cell, and of what a predecessor left
 /// behind.
 #[derive(Debug)]
 pub(crate) struct Ownership {
@@ -50,11 +51,11 @@
     pub confirming: bool,
     /// Whether another daemon is known to own the cell.
     pub deposed: bool,
-    /// Until when runs of an earlier owner may exist on workers that have not answered yet.
+    /// Until when runs of a predecessor may exist on workers that have not answered yet.
     pub inherited_until: Millis,
-    /// Whether the workers that earlier owners used are unknown.
+    /// Whether the workers that predecessors used are unknown.
     pub roster_unknown: bool,
-    /// Whether the earlier owner is being asked for progress that it could not save.
+    /// Whether the predecessor is being asked for progress that it could not save.
     pub awaits_handover: bool,
     /// Tasks with a run that is presumed to have ended because the worker fell silent and its lease
     /// expired.
@@ -85,8 +86,8 @@
 }
 
 impl Cell {
-    /// inherited_until returns when all leases of an earlier owner have expired, if that owner may
-    /// act for `acting_ms` more.
+    /// inherited_until returns when all leases of a predecessor have expired, if that owner may act
+    /// for `acting_ms` more.
     pub(crate) fn inherited_until(options: &Options, now: Millis, acting_ms: u64) -> Millis {
         let lease = options.max_lease_ms + options.max_lease_ms * CLOCK_ERROR_MILLI / 1_000;
         now.plus(acting_ms + lease + MARGIN_MS)
@@ -99,7 +100,7 @@
     }
 
     /// may_start reports whether the tasks of a job have no run that this owner can't know of, and
-    /// no end that a later owner may already have received.
+    /// no end that a successor may already have received.
     pub(crate) fn may_start(&self, job: JobKey) -> bool {
         if !self.job(job).inherited {
             return true;
@@ -111,48 +112,48 @@
         !self.ownership.awaits_handover && (over || self.has_contacted_all()) && current
     }
 
-    /// awaits_inherited_reports reports whether a silent worker may still report runs or ends of an
-    /// earlier owner.
+    /// awaits_inherited_reports reports whether a silent worker may still report runs or ends of a
+    /// predecessor.
     fn awaits_inherited_reports(&self) -> bool {
         let mut workers = self.workers.iter();
         workers.any(|worker| self.may_report_inherited(worker))
     }
 
-    /// has_lost_uncontacted reports whether a worker ended without ever answering this owner. An
-    /// earlier owner may have received its reports and may pass them on to a later owner.
+    /// has_lost_uncontacted reports whether a worker ended without ever answering this owner. A
+    /// predecessor may have received its reports and may pass them on to a successor.
     fn has_lost_uncontacted(&self) -> bool {
         let uncontacted =
             |worker: &Worker| worker.presence == Presence::Gone && worker.clock.is_none();
         self.workers.iter().any(uncontacted)
     }
 
-    /// may_have_ended reports whether a later owner may already know that a task is done of which
+    /// may_have_ended reports whether a successor may already know that a task is done of which
     /// this owner received no end.
     pub(crate) fn may_have_ended(&self, task: TaskKey) -> bool {
         self.task(task).presumed_ended && !self.is_confirmed_lately()
     }
 
     /// is_confirmed_lately reports whether the last confirmation is recent enough to rule out that
-    /// a later owner contacted, some time ago, a worker that did not answer this one.
+    /// a successor contacted, some time ago, a worker that did not answer this one.
     fn is_confirmed_lately(&self) -> bool {
         self.now.mono.since(self.ownership.confirmed) < MAX_CONFIRMATION_AGE_MS
     }
 
-    /// knows_roster reports whether this owner knows all workers on which a lease of an earlier
-    /// owner may still be valid.
+    /// knows_roster reports whether this owner knows all workers on which a lease of a predecessor
+    /// may still be valid.
     pub(crate) fn knows_roster(&self) -> bool {
         !self.ownership.roster_unknown || self.is_confirmed_after(self.ownership.inherited_until)
     }
 
-    /// has_contacted_all reports whether all workers that an earlier owner may have used have
-    /// answered or are dead. A worker that was given up may still answer a later owner.
+    /// has_contacted_all reports whether all workers that a predecessor may have used have answered
+    /// or are dead. A worker that was given up may still answer a successor.
     pub(crate) fn has_contacted_all(&self) -> bool {
         !self.ownership.roster_unknown && !self.workers.iter().any(Worker::is_inherited)
     }
 
     /// is_confirmed_after reports whether the store was asked after `time` and confirmed the
-    /// ownership, so that no later owner had acted by then. Times are whole milliseconds, so it
-    /// must have been asked in a later millisecond.
+    /// ownership, so that no successor had acted by then. Times are whole milliseconds, so it must
+    /// have been asked in a later millisecond.
     pub(crate) fn is_confirmed_after(&self, time: Millis) -> bool {
         self.ownership.confirmed > time
     }
@@ -166,7 +167,7 @@
     }
 
     /// requeue_presumed_ended makes tasks ready again whose runs on a worker are presumed to have
-    /// ended, as far as no later owner can know better.
+    /// ended, as far as no successor can know better.
     fn requeue_presumed_ended(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         let Some(time) = worker.presumed_ended else {
@@ -175,8 +176,8 @@
         let owned = self.is_confirmed_after(time);
         let dead = worker.presence == Presence::Gone;
         for run in worker.runs.clone() {
-            // A dead worker runs nothing, whoever owns the cell. A later owner can know at most
-            // that a task was done before, and a long-running task is started again in any case.
+            // A dead worker runs nothing, whoever owns the cell. A successor can know at most that
+            // a task was done before, and a long-running task is started again in any case.
             let long_running = self.runs.get(run).is_some_and(|run| run.long_running);
             if owned && !dead && !long_running {
                 self.presume_task_ended(run);
@@ -191,7 +192,7 @@
             if dead {
                 worker.inheritance = Inheritance::None;
             }
-            self.place_wanted = true;
+            self.placement_due = true;
         }
     }
 
@@ -235,7 +236,7 @@
         if !self.ownership.had_store_at(sent) {
             self.ownership.store_since = self.now.mono;
         }
-        self.place_wanted |= self.waits_for_store();
+        self.placement_due |= self.waits_for_store();
         self.ownership.confirmed = self.ownership.confirmed.max(sent);
         self.requeue_all_presumed_ended();
     }
@@ -276,7 +277,7 @@
                 .any(|worker| worker.presumed_ended.is_some())
     }
 
-    /// waits_inherited reports whether a task of an earlier owner's job waits to be placed.
+    /// waits_inherited reports whether a task of a predecessor's job waits to be placed.
     pub(crate) fn waits_inherited(&self) -> bool {
         self.queued()
             .any(|step| self.job(self.step_of(step).job).inherited)
--- a/crates/stackpier-cell/src/unanswered.rs
+++ b/crates/stackpier-cell/src/unanswered.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Starts that got no answer and may still be carried out seconds later.
 //!
-//! The worker is told to stop such a run and refuses it from then on. An incarnation that begins
+//! The worker is ordered to stop such a run and refuses it from then on. An incarnation that begins
 //! after that does not know about the stop and would accept the start, because orders name a worker
 //! only by its id.
 
--- a/crates/stackpier-cell/src/uncontacted.rs
+++ b/crates/stackpier-cell/src/uncontacted.rs
@@ -14,8 +14,8 @@
 const NEVER_ANSWERED_MS: u64 = 4_000;
 /// MAX_POLLED is how many workers are polled again per tick.
 const MAX_POLLED: usize = 16;
-/// MAX_NAMED is how many workers a log line names.
-const MAX_NAMED: usize = 8;
+/// MAX_NAMED_WORKERS is how many workers a log line names.
+const MAX_NAMED_WORKERS: usize = 8;
 
 impl Cell {
     /// poll_uncontacted polls workers again that have not answered for a while, starting with those
@@ -44,7 +44,7 @@
             .filter(|worker| worker.clock.is_none())
             .count();
         let ids = uncontacted.iter().map(|worker| worker.info.id.as_str());
-        let first: Vec<&str> = ids.take(MAX_NAMED).collect();
+        let first: Vec<&str> = ids.take(MAX_NAMED_WORKERS).collect();
         let text = format!(
             "tasks of earlier jobs wait for {} workers, {never_answered} of which have not \
              answered at all, for {} ms more at most: {}",
--- a/crates/stackpier-cell/src/worker.rs
+++ b/crates/stackpier-cell/src/worker.rs
@@ -26,7 +26,7 @@
     pub started_at: Option<Unix>,
     /// The service that it belongs to.
     pub service: String,
-    /// The address at which it takes orders.
+    /// The address at which it accepts orders.
     pub address: String,
     /// Its data centre.
     pub data_centre: String,
@@ -55,7 +55,7 @@
     Gone,
 }
 
-/// Inheritance tells what an earlier owner may have left on a worker.
+/// Inheritance tells what a predecessor may have left on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Inheritance {
     /// Nothing that this owner does not know.
@@ -94,7 +94,7 @@
     pub unreadable: bool,
     /// Whether the store knows that it may run something.
     pub rostered: bool,
-    /// What an earlier owner may have there that this one doesn't know.
+    /// What a predecessor may have there that this one doesn't know.
     pub inheritance: Inheritance,
     /// When its runs were presumed to have ended, if that rests on its silence alone and the
     /// store has not confirmed the ownership since.
@@ -105,7 +105,7 @@
     /// Memory and accelerators of all runs, and the processors of those that are not
     /// best-effort.
     pub allocated: Size,
-    /// The processors that long-running tasks have reserved, in thousandths of a core.
+    /// The processors that long-running runs asked for, in thousandths of a core.
     pub long_running_milli: u32,
     /// The processors that all other runs asked for, in thousandths of a core.
     pub other_milli: u32,
@@ -138,7 +138,7 @@
     pub isolation: Option<Isolation>,
     /// No starts before this time, because it answered that it had no capacity.
     pub full_until: Millis,
-    /// When a task last started here past the limits that protect other tasks.
+    /// When a task last started here without the limits that protect other tasks.
     pub relaxed_start_at: Option<Millis>,
     pub draining_since: Option<Millis>,
     /// Whether it gets no starts because its host is about to go down.
@@ -177,13 +177,13 @@
         self.received.has_above(self.acked)
     }
 
-    /// is_inherited reports whether an earlier owner may have runs or ends there that this one
+    /// is_inherited reports whether a predecessor may have runs or ends there that this one
     /// doesn't know.
     pub(crate) fn is_inherited(&self) -> bool {
         self.inheritance != Inheritance::None
     }
 
-    /// update_inheritance records that a report arrived which shows an earlier owner's runs. It
+    /// update_inheritance records that a report arrived which shows a predecessor's runs. It
     /// reports whether another report is needed at once, because tasks wait for it.
     pub(crate) fn update_inheritance(&mut self, sent: Millis, now: Millis, whole: bool) -> bool {
         match self.inheritance {
@@ -245,7 +245,7 @@
 
     /// expected_unused_milli returns the processors that are expected to be unused, in
     /// thousandths of a core, if long-running tasks use `use_milli` thousandths of what they
-    /// reserved.
+    /// asked for.
     pub(crate) fn expected_unused_milli(&self, use_milli: u32) -> i64 {
         let long_running = i64::from(self.long_running_milli) * i64::from(use_milli) / 1_000;
         i64::from(self.info.capacity.milli_cores) - long_running - i64::from(self.other_milli)
--- a/crates/stackpier-cell/tests/common/effects.rs
+++ b/crates/stackpier-cell/tests/common/effects.rs
@@ -63,7 +63,7 @@
             Event::Paced {
                 run,
                 percent,
-                taken,
+                accepted: taken,
             },
         );
     }
--- a/crates/stackpier-cell/tests/crashes.rs
+++ b/crates/stackpier-cell/tests/crashes.rs
@@ -2,12 +2,12 @@
 //! Tasks that crash every worker that starts them.
 //!
 //! The failure: two tasks were started more than a dozen times each. Each start crashed its
-//! worker within 15 ms, which also lost the work of up to a dozen other tasks. Only runs that
-//! end as failed counted towards the attempts, and a run that is lost with its worker does not
-//! end as failed, so its task was placed again without limit. If the task allowed copies, most
-//! of the starts were copies, because the run on the silent worker lagged. A later owner knew
-//! nothing of the earlier crashes. In the owner's log each start was confirmed, the worker did
-//! not answer from then on, and the runs ended as "its address answers for another incarnation".
+//! worker within 15 ms, which also lost the work of up to a dozen other tasks. Only runs that end
+//! as failed counted towards the attempts, and a run that is lost with its worker does not end as
+//! failed, so its task was placed again without limit. If the task allowed copies, most of the
+//! starts were copies, because the run on the silent worker lagged. A successor knew nothing of
+//! the earlier crashes. In the owner's log each start was confirmed, the worker did not answer
+//! from then on, and the runs ended as "its address answers for another incarnation".
 
 mod common;
 
@@ -265,7 +265,7 @@
     owner.advance(1_500);
     let suspects = owner.saves.iter().flat_map(|save| &save.jobs);
     let incarnations =
-        suspects.flat_map(|(_, saved)| saved.suspects.iter().map(|one| one.lives.len()));
+        suspects.flat_map(|(_, saved)| saved.suspects.iter().map(|one| one.incarnations.len()));
     assert_eq!(incarnations.max(), Some(1), "the first worker only");
     owner.cut[1 - place] = false;
     owner.advance(1_000);
--- a/crates/stackpier-cell/tests/faults.rs
+++ b/crates/stackpier-cell/tests/faults.rs
@@ -313,7 +313,7 @@
     assert_eq!(
         later.places(1, 0).len(),
         1,
-        "every lease of the earlier owner is over"
+        "every lease of the predecessor is over"
     );
 }
 
@@ -410,7 +410,7 @@
 }
 
 /// Guards against owners that wait for workers which are gone. Found in scenario trouble-2: workers
-/// that had left stayed in the roster, and each later owner waited until their leases expired.
+/// that had left stayed in the roster, and each successor waited until their leases expired.
 #[test]
 fn a_worker_that_left_is_not_waited_for_by_a_later_owner() {
     let mut owner = Owner::new(2);
--- a/crates/stackpier-cell/tests/handover.rs
+++ b/crates/stackpier-cell/tests/handover.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Progress that an earlier owner could not save and hands over to its successor.
+//! Progress that a predecessor could not save and hands over to its successor.
 
 mod common;
 
@@ -36,7 +36,7 @@
     owner
 }
 
-/// unsaved_of returns the progress of the job as an earlier owner sends it.
+/// unsaved_of returns the progress of the job as a predecessor sends it.
 fn unsaved_of(progress: Progress) -> Vec<Unsaved> {
     vec![Unsaved {
         job: key::Job(JOB),
@@ -44,7 +44,7 @@
     }]
 }
 
-/// Guards against tasks that start again although an earlier owner knows that they are done.
+/// Guards against tasks that start again although a predecessor knows that they are done.
 #[rstest]
 fn tasks_that_an_earlier_owner_knows_as_done_do_not_start() {
     let steps = vec![
@@ -61,7 +61,7 @@
     assert_eq!(
         later.starts.len(),
         0,
-        "the earlier owner is still being asked"
+        "the predecessor is still being asked"
     );
     later.feed(Event::PredecessorAnswered(unsaved));
     later.advance(3_000);
@@ -70,7 +70,7 @@
     assert_eq!(later.state(JOB), Some(State::Completed));
 }
 
-/// Guards against a successor that waits for an earlier owner that does not answer.
+/// Guards against a successor that waits for a predecessor that does not answer.
 #[rstest]
 fn without_an_answer_inherited_tasks_start() {
     let mut later = successor(vec![step(TASKS)], None);
@@ -80,8 +80,8 @@
     assert_eq!(later.starts.len(), TASKS as usize);
 }
 
-/// Guards against a job that does not end when its last ends come from an earlier owner, and
-/// against runs of it that go on.
+/// Guards against a job that does not end when its last ends come from a predecessor, and against
+/// runs of it that go on.
 #[rstest]
 fn a_job_that_an_earlier_owner_knows_as_done_ends_and_its_runs_stop() {
     let long = Step {
@@ -124,7 +124,7 @@
 }
 
 /// Guards against work that is repeated from the start, and against a run that is set back to the
-/// checkpoint that an earlier owner received from the run before it.
+/// checkpoint that a predecessor received from the run before it.
 #[rstest]
 #[case::before_a_start(false, Some("saved"))]
 #[case::after_a_start(true, None)]
@@ -174,7 +174,7 @@
 }
 
 /// Guards against an owner that was replaced without knowing it: a worker that it never reached
-/// may have reported ends to an earlier owner, which handed them over to the newest owner.
+/// may have reported ends to a predecessor, which handed them over to the newest owner.
 #[rstest]
 fn without_the_store_inherited_tasks_of_a_lost_worker_wait() {
     let mut owner = Owner::with(2, 2, true);
--- a/crates/stackpier-cell/tests/listing.rs
+++ b/crates/stackpier-cell/tests/listing.rs
@@ -107,8 +107,8 @@
     second
 }
 
-/// A later owner has contacted a worker once it has received all of its ends: a list that is cut
-/// has only the first ends, which tell nothing about the other tasks.
+/// A successor has contacted a worker once it has received all of its ends: a list that is cut has
+/// only the first ends, which tell nothing about the other tasks.
 #[test]
 fn a_successor_waits_for_the_ends_beyond_a_list_that_is_cut() {
     let successor = run_successor(Listing::cut(2));
@@ -116,7 +116,7 @@
     assert_eq!(successor.state(1), Some(State::Completed));
 }
 
-/// A later owner also waits for the next report, which may list ends that the first one lacks.
+/// A successor also waits for the next report, which may list ends that the first one lacks.
 #[test]
 fn a_successor_waits_for_ends_that_show_one_report_late() {
     let successor = run_successor(Listing::late());
@@ -235,8 +235,8 @@
     }
 }
 
-/// A later owner has not contacted a worker while ends with lower numbers than the listed ones may
-/// be missing.
+/// A successor has not contacted a worker while ends with lower numbers than the listed ones may be
+/// missing.
 #[test]
 fn a_successor_waits_for_ends_below_those_that_are_listed() {
     let mut owner = Owner::with(1, 2, true);
@@ -253,7 +253,7 @@
     assert_eq!(owner.cell.running(), 0);
 }
 
-/// An earlier owner may have acknowledged the ends below those that are listed.
+/// A predecessor may have acknowledged the ends below those that are listed.
 #[test]
 fn ends_that_no_report_lists_delay_the_others_by_one_report() {
     let (mut owner, worker) = owner_of_worker();
@@ -263,7 +263,7 @@
 }
 
 /// A worker may be lost while the owner still waits for ends below those that it listed. All listed
-/// ends are saved, so a later owner need not wait for the worker.
+/// ends are saved, so a successor need not wait for the worker.
 #[test]
 fn a_worker_that_is_lost_with_a_gap_in_its_ends_is_given_up() {
     let (mut owner, worker) = owner_of_worker();
--- a/crates/stackpier-cell/tests/maintenance.rs
+++ b/crates/stackpier-cell/tests/maintenance.rs
@@ -297,7 +297,7 @@
     assert_eq!(count_working(&owner, 2), 2, "both are at work again");
 }
 
-/// A successor starts to order hosts down 3.5 s after its take-over, so an owner without the
+/// A successor starts to order hosts down 3.5 s after its takeover, so an owner without the
 /// store stops earlier: the orders of two owners must not interleave.
 #[test]
 fn an_owner_without_the_store_stops_ordering_before_its_successor_starts() {
--- a/crates/stackpier-cell/tests/restarts.rs
+++ b/crates/stackpier-cell/tests/restarts.rs
@@ -289,7 +289,7 @@
         owner.advance(1);
     }
     let saved = owner.saved(LATER).expect("what counts against it is saved");
-    let counted = saved.suspects[0].lives.len();
+    let counted = saved.suspects[0].incarnations.len();
     let mut successor = Owner::with(4, 2, true);
     successor.submit_to(LATER, QUEUE, spec(vec![step(1)]), 1, Some(saved));
     for place in 0..4 {
@@ -329,8 +329,8 @@
     assert!(last[0].completed, "{last:?}");
 }
 
-/// A later owner may have reached the earlier incarnation and acknowledged the end of its run.
-/// That the later incarnation does not show the run does not rule this out.
+/// A successor may have reached the earlier incarnation and acknowledged the end of its run. That
+/// the later incarnation does not show the run does not rule this out.
 #[test]
 fn without_the_store_a_start_that_the_earlier_incarnation_may_have_accepted_is_not_repeated() {
     let mut owner = owner(2);
--- a/crates/stackpier-cell/tests/roster.rs
+++ b/crates/stackpier-cell/tests/roster.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The roster: the workers that may run something for the cell. A later owner waits for them.
+//! The roster: the workers that may run something for the cell. A successor waits for them.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use stackpier_state::job::Step;
 
 /// A worker that was given up and comes back gets no start until it is in the saved roster again:
-/// a later owner would not wait for it.
+/// a successor would not wait for it.
 #[test]
 fn a_worker_that_comes_back_is_in_the_roster_before_it_gets_starts() {
     let mut owner = Owner::new(1);
@@ -36,8 +36,8 @@
 /// Guards against owners that wait for workers which left long ago. In a run with three changes of
 /// the owner, long-running tasks did not run for 29 seconds: the first owner kept three workers
 /// that had left in the roster until their leases expired, and lost the cell before that. Each
-/// later owner waited for them, at most until the leases of its predecessor had expired, and
-/// logged that runs of an earlier owner were possible.
+/// successor waited for them, at most until the leases of its predecessor had expired, and logged
+/// that runs of a predecessor were possible.
 #[test]
 fn a_worker_that_leaves_with_nothing_on_it_is_not_in_the_roster() {
     let mut owner = Owner::new(2);
--- a/crates/stackpier-cell/tests/rotation.rs
+++ b/crates/stackpier-cell/tests/rotation.rs
@@ -90,7 +90,8 @@
     assert_eq!(owner.places(SECOND, 0).len(), starts);
 }
 
-/// With one worker too few, each of the five tasks is stopped at times, and none for long.
+/// With one worker too few, each of the five tasks is stopped at times, and none for a long
+/// time.
 #[rstest]
 fn no_task_is_stopped_for_long_while_time_slices_rotate() {
     let mut owner = start_full_cell(Some(1), None);
--- a/crates/stackpier-cell/tests/stalls.rs
+++ b/crates/stackpier-cell/tests/stalls.rs
@@ -35,7 +35,7 @@
 /// PAUSED_MS is longer than a run may go without progress.
 const PAUSED_MS: u64 = 6_000;
 
-/// Guards against work lost in a take-over: the predecessor has paused a run, and its successor
+/// Guards against work lost in a takeover: the predecessor has paused a run, and its successor
 /// takes the run for one that hangs.
 #[test]
 fn a_run_paused_by_a_predecessor_continues() {
--- a/crates/stackpier-cell/tests/starvation.rs
+++ b/crates/stackpier-cell/tests/starvation.rs
@@ -6,9 +6,9 @@
 //! best-effort step waiting though most capacity was free: the expected number of serving tasks
 //! that go over their targets grows with a task's width, and every worker had serving tasks. As
 //! the step never ran, the model never learnt that its effect is smaller than expected. So the
-//! limits are relaxed for a step that has had nothing running for long. In logs they were the
-//! only obstacles, for up to 24 seconds; that they caused the endless wait, too, is inferred. In
-//! these tests one of the three alone keeps a task waiting.
+//! limits are relaxed for a step that has had nothing running for a long time. In logs they were
+//! the only obstacles, for up to 24 seconds; that they caused the endless wait, too, is
+//! inferred. In these tests one of the three alone keeps a task waiting.
 
 mod common;
 
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -6,9 +6,9 @@
 //! the store beyond the cut. A successor took over, contacted the workers of the first data centre
 //! when they were back, renewed their leases and acknowledged ends.
 //!
-//! How it came about: the earlier owner still had 5 s of authority. By its own record the leases
-//! in the first data centre expired in that time, so it started their tasks again on workers in
-//! its own data centre, which had not seen a higher fencing token.
+//! How it came about: the predecessor still had 5 s of authority. By its own record the leases in
+//! the first data centre expired in that time, so it started their tasks again on workers in its
+//! own data centre, which had not seen a higher fencing token.
 //!
 //! The cause: if a worker is silent until its lease expires, or a new incarnation answers at its
 //! address, an owner knows that nothing runs there any more. It does not know what a successor did
@@ -121,8 +121,8 @@
     assert_eq!(earlier.starts.len(), 2);
 }
 
-/// The leases of an earlier owner also count as expired without an answer of the workers. The
-/// tasks still wait for the store's confirmation.
+/// The leases of a predecessor also count as expired without an answer of the workers. The tasks
+/// still wait for the store's confirmation.
 #[rstest]
 #[case::leases(Silence::Lease)]
 #[case::incarnation(Silence::Incarnation)]
@@ -151,7 +151,7 @@
     assert_eq!(owner.places(1, 0), [0]);
 }
 
-/// A later owner may take over while an owner still reads the cell from the store: its authority
+/// A successor may take over while an owner still reads the cell from the store: its authority
 /// counts from the store's last confirmation, not from the end of the reading.
 #[test]
 fn an_owner_that_took_long_to_read_gives_no_orders_before_it_is_confirmed() {
@@ -174,8 +174,8 @@
     assert_eq!(owner.starts.len(), 1);
 }
 
-/// A worker that was given up is not in the roster, so a later owner would not wait for it: it
-/// gets no starts before it is in the roster again.
+/// A worker that was given up is not in the roster, so a successor would not wait for it: it gets
+/// no starts before it is in the roster again.
 #[test]
 fn a_worker_that_is_listed_again_gets_no_starts_before_the_roster_has_it() {
     let mut owner = Owner::new(1);
@@ -243,8 +243,8 @@
 }
 
 /// Guards against copies of a task that has ended. Found by the fuzz test (all kinds of faults,
-/// rate 5, seed 6): an earlier owner without the store took a run on an unreachable worker for a
-/// slow one, and started a copy elsewhere, 1.6 s after the later owner had acknowledged its end.
+/// rate 5, seed 6): a predecessor without the store took a run on an unreachable worker for a slow
+/// one, and started a copy elsewhere, 1.6 s after the successor had acknowledged its end.
 #[test]
 fn a_copy_starts_only_while_no_later_owner_can_have_acknowledged_the_end() {
     let shape = Step {
@@ -286,7 +286,7 @@
 /// of faults: rate 15, seeds 80171 and 80980; rate 5, seed 80811): a task's worker was cut off
 /// until its lease expired, and the store confirmed the ownership after that. The task waited for
 /// free capacity. Then its owner was cut off, too. A successor reached the worker, and showed the
-/// job as completed. When the earlier owner had free capacity, it started the task, 3 to 4 s after
+/// job as completed. When the predecessor had free capacity, it started the task, 3 to 4 s after
 /// the store's last confirmation. That confirmation shows that no successor had reached the worker
 /// by then, but not that none has reached it since.
 #[test]
@@ -332,7 +332,7 @@
 }
 
 /// check_fresh_confirmation lets a successor receive the end of a task on a worker, and then gives
-/// the earlier owner free capacity for the task, first without the store.
+/// the predecessor free capacity for the task, first without the store.
 fn check_fresh_confirmation(mut earlier: Owner, place: usize) {
     let before = earlier.starts_of(name(1, 0, 0));
     earlier.store = false;
@@ -355,7 +355,7 @@
 
 /// Guards against a start that is sent on an old confirmation, found by the fuzz test with a copy:
 /// a start that may crash its worker waits for a save. The save took a second, and the start was
-/// sent after it, although a later owner might have acknowledged the end of its task meanwhile.
+/// sent after it, although a successor might have acknowledged the end of its task meanwhile.
 #[test]
 fn a_start_that_waited_long_for_a_save_is_not_sent_without_a_confirmation() {
     let mut owner = Owner::new(2);
@@ -380,7 +380,7 @@
     assert_eq!(
         owner.starts_of(name(1, 0, 0)),
         1,
-        "a later owner may know its end"
+        "a successor may know its end"
     );
     owner.store = true;
     owner.save_ms = 2;
--- a/crates/stackpier-cell/tests/trim.rs
+++ b/crates/stackpier-cell/tests/trim.rs
@@ -67,7 +67,7 @@
 }
 
 /// Guards against runs that no owner can stop any more: a job was cancelled while the data centre
-/// in which an earlier owner had started it was cut off. A successor that found the job trimmed
+/// in which a predecessor had started it was cut off. A successor that found the job trimmed
 /// could not stop the runs that were left.
 #[rstest]
 fn a_job_is_not_trimmed_while_runs_of_an_earlier_owner_may_exist() {
--- a/crates/stackpier-cell/tests/uncontacted.rs
+++ b/crates/stackpier-cell/tests/uncontacted.rs
@@ -16,8 +16,8 @@
 const APART_MS: u64 = 20;
 /// LOST_MS is when operators count a job as lost that could run and does not.
 const LOST_MS: u64 = 3_000;
-/// LEASES_MS is when all leases of an earlier owner have expired, with the time of a tick and a
-/// call to the store.
+/// LEASES_MS is when all leases of a predecessor have expired, with the time of a tick and a call
+/// to the store.
 const LEASES_MS: u64 = 6_800;
 
 /// successor returns an owner whose workers, except the first, do not answer a number of polls.
--- a/crates/stackpier-cell/tests/waiting.rs
+++ b/crates/stackpier-cell/tests/waiting.rs
@@ -116,7 +116,8 @@
 }
 
 /// Guards against a long-running task that loses its rank because another of its step ends: the
-/// capacity that this one releases goes to narrow tasks, though the first has waited for long.
+/// capacity that this one releases goes to narrow tasks, though the first has waited for a long
+/// time.
 #[test]
 fn a_long_running_task_keeps_its_rank_when_another_of_its_step_ends() {
     let mut owner = Owner::new(1);
--- a/crates/stackpier-fuzz/src/cell/world/calls.rs
+++ b/crates/stackpier-fuzz/src/cell/world/calls.rs
@@ -55,7 +55,7 @@
             Effect::Pace(pace) => Event::Paced {
                 run: pace.order.key,
                 percent: pace.percent,
-                taken: false,
+                accepted: false,
             },
             Effect::Renew(hold) => Event::Renewed {
                 worker: hold.worker,
@@ -110,7 +110,7 @@
             Effect::Pace(pace) => Event::Paced {
                 run: pace.order.key,
                 percent: pace.percent,
-                taken: self.workers[target].pace(self.now_ms, pace),
+                accepted: self.workers[target].pace(self.now_ms, pace),
             },
             Effect::Renew(hold) => {
                 let outcome = self.workers[target].hold(self.now_ms, hold);
--- a/crates/stackpier-load/src/cell/world/calls.rs
+++ b/crates/stackpier-load/src/cell/world/calls.rs
@@ -62,7 +62,7 @@
                 let event = Event::Paced {
                     run: pace.order.key,
                     percent: pace.percent,
-                    taken,
+                    accepted: taken,
                 };
                 self.answer(!taken, event);
             }
--- a/crates/stackpier-scheduler/src/calls.rs
+++ b/crates/stackpier-scheduler/src/calls.rs
@@ -20,7 +20,7 @@
             order.worker_id,
             helper.as_deref().unwrap_or("this daemon")
         );
-        self.say_of("place", Some(order.task.to_string()), &text);
+        self.log_about("place", Some(order.task.to_string()), &text);
         let run = order.key;
         self.feed(fence, Event::Started { run, outcome });
     }
@@ -36,16 +36,16 @@
         let accepted = self.platform.pace(&pace).await;
         self.count_worker_call("pace", accepted);
         let text = format!("pace {} ordered, accepted: {accepted}", pace.percent);
-        self.say_of("pace", Some(pace.order.task.to_string()), &text);
+        self.log_about("pace", Some(pace.order.task.to_string()), &text);
         let event = Event::Paced {
             run: pace.order.key,
             percent: pace.percent,
-            taken: accepted,
+            accepted,
         };
         self.feed(fence, event);
     }
 
-    pub(crate) async fn send_hold(self, fence: u64, renewal: Renewal) {
+    pub(crate) async fn send_renewal(self, fence: u64, renewal: Renewal) {
         let sent = self.mono();
         let outcome = self.renew_or_forward(&renewal).await;
         let answered = matches!(outcome, Renewed::Report(_));
@@ -58,13 +58,13 @@
         self.feed(fence, event);
     }
 
-    pub(crate) async fn send_down(self, fence: u64, order: TakeDown) {
+    pub(crate) async fn send_take_down(self, fence: u64, order: TakeDown) {
         let outcome = self.platform.take_down(&order, &self.settings.vm).await;
         self.count_worker_call("take_down", outcome == TakenDown::Yes);
         self.feed(fence, Event::TakenDown(order, outcome));
     }
 
-    pub(crate) async fn send_ask(self, fence: u64, request: AdviceRequest) {
+    pub(crate) async fn request_advice(self, fence: u64, request: AdviceRequest) {
         let answer = self.platform.advise(&request).await;
         self.count_worker_call("advise", answer.is_some());
         self.feed(fence, Event::Advised(request.step, answer));
--- a/crates/stackpier-scheduler/src/cluster.rs
+++ b/crates/stackpier-scheduler/src/cluster.rs
@@ -58,7 +58,9 @@
                 let entry = Registered { member, revision };
                 self.members.borrow_mut().insert(vm, entry);
             }
-            Err(error) => self.say("member", &format!("{} is not readable: {error}", item.key)),
+            Err(error) => {
+                self.log_line("member", &format!("{} is not readable: {error}", item.key))
+            }
         }
     }
 
@@ -74,7 +76,7 @@
         let ownership = match decode::<Ownership>(&item.value) {
             Ok(ownership) => ownership,
             Err(error) => {
-                self.say("member", &format!("the ownership is not readable: {error}"));
+                self.log_line("member", &format!("the ownership is not readable: {error}"));
                 return;
             }
         };
@@ -86,7 +88,7 @@
             "cell owned by {} with fence {}, released {}",
             ownership.vm, ownership.fence, ownership.released
         );
-        self.say("member", &text);
+        self.log_line("member", &text);
         let own = ownership.vm == self.settings.vm && ownership.boot == self.boot;
         let fence = ownership.fence;
         self.owned.replace(Some(Owned {
--- a/crates/stackpier-scheduler/src/daemon.rs
+++ b/crates/stackpier-scheduler/src/daemon.rs
@@ -71,7 +71,7 @@
     tokio::task::spawn_local(link::serve(peers, node.clone(), other_open));
     tokio::task::spawn_local(follow(node.clone(), Configs { node: node.clone() }, None));
     tokio::task::spawn_local(monitor::run(node.clone()));
-    node.say("daemon", &format!("started: {settings:?}"));
+    node.log_line("daemon", &format!("started: {settings:?}"));
     wait_for_stop(&node).await?;
     stop(&node, &close, &open).await;
     Ok(())
@@ -87,7 +87,7 @@
             _ = interrupt.recv() => return Ok(()),
             // Settings are fixed for the life of the process. What operators change at run
             // time comes through the store.
-            _ = hangup.recv() => node.say("daemon", "SIGHUP ignored: settings are not reloaded"),
+            _ = hangup.recv() => node.log_line("daemon", "SIGHUP ignored: settings are not reloaded"),
         }
     }
 }
@@ -97,7 +97,7 @@
     let limit_ms = node.settings.grace_ms.saturating_sub(STOP_MARGIN_MS);
     node.stopping.set(true);
     node.ends_at.set(Some(start.plus(limit_ms)));
-    node.say("daemon", "stopping");
+    node.log_line("daemon", "stopping");
     node.release().await;
     let drain_ms = DRAIN_MS.min(limit_ms);
     while node.mono().since(start) < drain_ms {
@@ -110,7 +110,7 @@
         pause(STOP_POLL_MS).await;
     }
     let text = format!("stopped with {} connections open", open.get());
-    node.say("daemon", &text);
+    node.log_line("daemon", &text);
 }
 
 impl<P: Platform> Node<P> {
@@ -132,7 +132,7 @@
         let transaction = Transaction::swap(OWNER, revision, value);
         let committed = self.store_commit(&transaction).await;
         let done = matches!(committed, Committed::Done(_));
-        self.say(
+        self.log_line(
             "owner",
             &format!("cell released, known to the store: {done}; {jobs} jobs are not saved"),
         );
@@ -158,7 +158,7 @@
         let config = match self.platform.config(item) {
             Ok(config) => config,
             Err(error) => {
-                self.say(
+                self.log_line(
                     "config",
                     &format!("the configuration is not readable: {error}"),
                 );
@@ -173,7 +173,7 @@
             config.version,
             config.routes.len()
         );
-        self.say("config", &text);
+        self.log_line("config", &text);
         self.config.replace(Some(Rc::new(config)));
         self.config_item.replace(Some(item.clone()));
         self.feed_queues();
@@ -187,7 +187,7 @@
             Ok(None) => return,
             Err(error) => {
                 let text = format!("the plan {} is not readable: {error}", item.key);
-                self.say("config", &text);
+                self.log_line("config", &text);
                 return;
             }
         };
@@ -196,7 +196,7 @@
                 "plan {} ignored: the settings have no address for taking hosts down",
                 plan.number
             );
-            self.say("config", &text);
+            self.log_line("config", &text);
             return;
         }
         let is_same = |other: &Plan| other.number == plan.number;
@@ -270,7 +270,7 @@
         match request {
             Request::Heartbeat(heartbeat) => Response::Alive(self.alive(&heartbeat)),
             Request::Store => Response::Flag(self.store_answers()),
-            Request::Heard(fence) => Response::Flag(self.has_owner_contact(fence)),
+            Request::HasRecentContact(fence) => Response::Flag(self.has_owner_contact(fence)),
             Request::Config => match self.config_item.borrow().as_ref() {
                 Some(item) => Response::Config(item.value.clone(), item.revision),
                 None => Response::NotOwner,
@@ -319,7 +319,7 @@
                 waiting.map_or(Response::NotOwner, Response::Count)
             }
             Request::Heartbeat(_)
-            | Request::Heard(_)
+            | Request::HasRecentContact(_)
             | Request::Store
             | Request::Config
             | Request::Metrics
@@ -365,7 +365,7 @@
             Ok(text) => answer(200, text, None),
             Err(error) => {
                 self.0
-                    .say("daemon", &format!("cannot encode the metrics: {error}"));
+                    .log_line("daemon", &format!("cannot encode the metrics: {error}"));
                 answer(500, Vec::new(), None)
             }
         }
--- a/crates/stackpier-scheduler/src/explain.rs
+++ b/crates/stackpier-scheduler/src/explain.rs
@@ -44,7 +44,7 @@
         match body {
             Ok(body) => answer(status, body, None),
             Err(error) => {
-                self.say("daemon", &format!("cannot encode an explanation: {error}"));
+                self.log_line("daemon", &format!("cannot encode an explanation: {error}"));
                 answer(500, Vec::new(), None)
             }
         }
@@ -95,7 +95,7 @@
                     "cannot get the metrics address of {}: {error}",
                     ownership.vm
                 );
-                self.say("daemon", &text);
+                self.log_line("daemon", &text);
                 None
             }
         }
--- a/crates/stackpier-scheduler/src/following.rs
+++ b/crates/stackpier-scheduler/src/following.rs
@@ -30,7 +30,7 @@
 pub(crate) struct Jobs<P> {
     pub node: Node<P>,
     pub fence: u64,
-    /// Encoded progress saved by earlier owners, until it is passed to the cell.
+    /// Encoded progress saved by predecessors, until it is passed to the cell.
     pub progress: HashMap<key::Job, Vec<u8>>,
     /// How this daemon currently learns of the jobs.
     pub source: Source,
@@ -41,7 +41,9 @@
         match keys::entry(&item.key) {
             Some(Entry::Job(job)) => self.apply_job(job, item),
             Some(Entry::Cancel(job)) => self.node.feed(self.fence, Event::Cancelled(job)),
-            None => self.node.say("owner", &format!("unknown key {}", item.key)),
+            None => self
+                .node
+                .log_line("owner", &format!("unknown key {}", item.key)),
         }
     }
 
@@ -57,7 +59,7 @@
             Ok(progress) => progress.map(Box::new),
             Err(error) => {
                 let text = format!("job ignored, its progress is not readable: {error}");
-                self.node.say_of("job", subject(), &text);
+                self.node.log_about("job", subject(), &text);
                 return;
             }
         };
@@ -66,7 +68,7 @@
             .add_job(self.fence, self.source, job, Box::new(record), progress);
     }
 
-    /// saved_progress returns the progress of a job that earlier owners saved, if there is
+    /// saved_progress returns the progress of a job that predecessors saved, if there is
     /// any.
     fn saved_progress(&self, job: key::Job) -> Result<Option<Progress>> {
         let value = self.progress.get(&job);
@@ -80,7 +82,7 @@
     }
 
     fn is_wanted(&self) -> bool {
-        self.node.is_at(self.fence)
+        self.node.owns_with(self.fence)
     }
 
     fn pause_ms(&self) -> u64 {
@@ -113,7 +115,7 @@
             }
             Err(error) => {
                 let text = format!("entry {} is not readable: {error}", item.key);
-                self.node.say("worker", &text);
+                self.node.log_line("worker", &text);
                 let id = self.node.platform.worker_id(&item.key).to_owned();
                 self.node.feed(self.fence, Event::Unreadable(id));
             }
@@ -150,7 +152,7 @@
     }
 
     fn is_wanted(&self) -> bool {
-        self.node.is_at(self.fence)
+        self.node.owns_with(self.fence)
     }
 
     fn pause_ms(&self) -> u64 {
--- a/crates/stackpier-scheduler/src/handover.rs
+++ b/crates/stackpier-scheduler/src/handover.rs
@@ -62,7 +62,7 @@
             if self.send_unsaved(&unsaved).await.is_ok() {
                 self.unsaved.borrow_mut().drain(..unsaved.len());
                 let text = format!("{} unsaved jobs are handed over", unsaved.len());
-                self.say("owner", &text);
+                self.log_line("owner", &text);
             } else {
                 // The successor may be unknown as yet, or still be reading the cell.
                 pause(RETRY_MS).await;
@@ -71,7 +71,7 @@
         let left = std::mem::take(&mut *self.unsaved.borrow_mut());
         if !left.is_empty() {
             let text = format!("{} unsaved jobs reached no successor", left.len());
-            self.say("owner", &text);
+            self.log_line("owner", &text);
         }
     }
 
@@ -106,7 +106,7 @@
             Ok(Response::Unsaved(unsaved)) => unsaved,
             other => {
                 let text = format!("the predecessor did not send its unsaved jobs: {other:?}");
-                self.say("owner", &text);
+                self.log_line("owner", &text);
                 Vec::new()
             }
         };
--- a/crates/stackpier-scheduler/src/http.rs
+++ b/crates/stackpier-scheduler/src/http.rs
@@ -136,8 +136,8 @@
         Ok(Answer { status, body })
     }
 
-    /// is_coming reports whether a long answer is arriving from an address.
-    pub fn is_coming(&self, address: &str) -> bool {
+    /// is_receiving reports whether a long answer is arriving from an address.
+    pub fn is_receiving(&self, address: &str) -> bool {
         let last_parts = self.last_parts.borrow();
         let last = last_parts.get(address);
         last.is_some_and(|last| last.elapsed() < MAX_PART_AGE)
--- a/crates/stackpier-scheduler/src/jobs.rs
+++ b/crates/stackpier-scheduler/src/jobs.rs
@@ -39,8 +39,8 @@
 /// NOTIFY_TRIES is how many times a daemon tries to send the owner a message
 /// about a job. The owner also finds the job in the store.
 const NOTIFY_TRIES: usize = 2;
-/// RETRY_AFTER_MS is when a client should try again after a refusal. A take-over
-/// or a short outage lasts about this long.
+/// RETRY_AFTER_MS is when a client should try again after a refusal. A takeover or a short outage
+/// lasts about this long.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Source tells how the owner learnt of a job.
@@ -50,9 +50,9 @@
     Client,
     /// Another daemon reported it.
     Message,
-    /// A watch of the store, or a listing after the take-over, showed it.
+    /// A watch of the store, or a listing after the takeover, showed it.
     Watch,
-    /// Loading the cell at a take-over, with the progress of all jobs, showed it.
+    /// Loading the cell at a takeover, with the progress of all jobs, showed it.
     Store,
 }
 
@@ -215,7 +215,7 @@
     /// the job and with what progress, which shows whether a successor knew what was done
     /// before.
     ///
-    /// A job that was accepted under an earlier owner may have begun, and only loading the cell
+    /// A job that was accepted under a predecessor may have begun, and only loading the cell
     /// tells how far it is. If loading did not yield the job, because the job or its progress
     /// could not be read or is forgotten, the job is ignored whatever the source.
     pub(crate) fn add_job(
@@ -226,7 +226,7 @@
         record: Box<Record>,
         progress: Option<Box<Progress>>,
     ) {
-        if self.is_at(fence) && self.job_state(job).is_none() {
+        if self.owns_with(fence) && self.job_state(job).is_none() {
             let is_added = source == Source::Store || record.fence >= fence;
             let state = progress.as_ref().map(|progress| progress.state);
             let text = format!(
@@ -234,7 +234,7 @@
                 if is_added { "added" } else { "ignored" },
                 record.fence
             );
-            self.say_of("job", Some(keys::hex(job)), &text);
+            self.log_about("job", Some(keys::hex(job)), &text);
             if !is_added {
                 return;
             }
--- a/crates/stackpier-scheduler/src/link.rs
+++ b/crates/stackpier-scheduler/src/link.rs
@@ -52,7 +52,7 @@
     Heartbeat(Heartbeat),
     /// Asks whether the receiver had a recent answer from the owner with this
     /// fence.
-    Heard(u64),
+    HasRecentContact(u64),
     /// Reports a job that is in the store.
     Accepted(key::Job, Box<Record>),
     /// Reports a job whose cancellation is in the store.
@@ -68,7 +68,7 @@
     /// Asks for the progress that the receiver could not save before the sender
     /// became the owner with this fence.
     Unsaved(u64),
-    /// Reports the progress that the sender, an earlier owner, could not save.
+    /// Reports the progress that the sender, a predecessor, could not save.
     HandOver(Vec<Unsaved>),
     /// Forwards a write of a daemon that can't reach the store. Doing it twice is
     /// safe.
@@ -121,7 +121,7 @@
     Config(Vec<u8>, u64),
     /// The outcome of a write.
     Written(Committed),
-    /// The progress that an earlier owner could not save.
+    /// The progress that a predecessor could not save.
     Unsaved(Vec<Unsaved>),
     /// The daemon that was asked does not own the cell.
     NotOwner,
--- a/crates/stackpier-scheduler/src/loading.rs
+++ b/crates/stackpier-scheduler/src/loading.rs
@@ -54,7 +54,7 @@
             loaded.workers.items.len(),
             predecessor.may_act
         );
-        self.say("owner", &text);
+        self.log_line("owner", &text);
         self.metrics.ownerships.add(1, &[]);
         self.install(owned, &predecessor, loaded);
         if let Some(address) = predecessor.address {
@@ -69,7 +69,7 @@
         loop {
             match self.read().await {
                 Ok(loaded) => return (self.fence() == fence).then_some(loaded),
-                Err(error) => self.say(
+                Err(error) => self.log_line(
                     "owner",
                     &format!("reading the cell failed, retrying: {error}"),
                 ),
@@ -129,7 +129,7 @@
         if predecessor.address.is_some() {
             cell.await_handover();
         }
-        // Reading may have taken seconds, and a later owner may have taken over meanwhile.
+        // Reading may have taken seconds, and a successor may have taken over meanwhile.
         cell.set_confirmed(self.owned_since(fence));
         self.restore(&mut cell, &mut revisions, &loaded);
         let mut progress = HashMap::new();
@@ -162,7 +162,7 @@
         tokio::task::spawn_local(tick(self.clone(), fence));
     }
 
-    /// restore passes to the cell what earlier owners saved: the roster of workers, the
+    /// restore passes to the cell what predecessors saved: the roster of workers, the
     /// model and the state of maintenance.
     fn restore(&self, cell: &mut Cell, revisions: &mut Revisions, loaded: &Loaded) {
         if let Some(item) = &loaded.roster {
@@ -197,7 +197,7 @@
             "waiting for reports of the roster: {}",
             describe_roster(entries)
         );
-        self.say("owner", &text);
+        self.log_line("owner", &text);
         entries.iter().for_each(|entry| cell.add_roster(entry));
     }
 
@@ -213,7 +213,7 @@
             Ok(value) => Some(value),
             Err(error) => {
                 let text = format!("{what} is not readable: {error}");
-                self.say_of("owner", subject, &text);
+                self.log_about("owner", subject, &text);
                 None
             }
         }
--- a/crates/stackpier-scheduler/src/metrics.rs
+++ b/crates/stackpier-scheduler/src/metrics.rs
@@ -25,7 +25,7 @@
     pub worker_calls: Counter<u64>,
     /// Calls to workers forwarded through another daemon, by call and whether an answer
     /// arrived.
-    pub passed_calls: Counter<u64>,
+    pub forwarded_calls: Counter<u64>,
     /// Decisions of the cell, by part.
     pub decisions: Counter<u64>,
     /// Times that this daemon came to own the cell.
@@ -56,7 +56,7 @@
             latency: instruments.seconds("stackpier_answer_seconds", &LATENCY_BOUNDS),
             store_calls: count("stackpier_store_calls"),
             worker_calls: count("stackpier_worker_calls"),
-            passed_calls: count("stackpier_passed_calls"),
+            forwarded_calls: count("stackpier_passed_calls"),
             decisions: count("stackpier_decisions"),
             ownerships: count("stackpier_ownerships"),
             running: gauge("stackpier_running"),
--- a/crates/stackpier-scheduler/src/monitor.rs
+++ b/crates/stackpier-scheduler/src/monitor.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Heartbeats to the cell's owner, and the take-over of the cell when the owner fails.
+//! Heartbeats to the cell's owner, and the takeover of the cell when the owner fails.
 //!
 //! Followers send heartbeats to the owner. When it does not answer, the daemons try to take
 //! over by rank: each waits a little longer than the one ranked before it. A candidate
@@ -36,8 +36,8 @@
 const SLOW_HEARTBEAT_MS: u64 = 1_500;
 /// HEARTBEAT_TIMEOUT bounds the wait for the answer to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
-/// SILENT_MS is how long the owner may leave heartbeats unanswered before a take-over:
-/// three heartbeats and a margin. Large transfers on a slow link extend it, see
+/// SILENT_MS is how long the owner may leave heartbeats unanswered before a takeover: three
+/// heartbeats and a margin. Large transfers on a slow link extend it, see
 /// [`Monitor::silence_limit_ms`].
 const SILENT_MS: u64 = 900;
 /// CELL_BYTES is the size of the cell in the store, as seen in current deployments. A new
@@ -46,8 +46,8 @@
 /// WIRE_BITS_PER_BYTE is how many bits on the link a byte of a value takes: 8 bits times
 /// four thirds for base64, and a tenth for headers.
 const WIRE_BITS_PER_BYTE: u64 = 12;
-/// STORELESS_MS is how long the owner may be without the store, while this daemon reaches
-/// it, before a take-over.
+/// STORELESS_MS is how long the owner may be without the store, while this daemon reaches it,
+/// before a takeover.
 const STORELESS_MS: u64 = 1_000;
 /// RANK_MS is how much longer each daemon waits than the one ranked before it.
 const RANK_MS: u64 = 250;
@@ -122,7 +122,7 @@
     while !matches!(node.store_commit(&transaction).await, Committed::Done(_)) {
         pause(REGISTER_RETRY_MS).await;
     }
-    node.say("member", "registered in the store");
+    node.log_line("member", "registered in the store");
 }
 
 async fn probe<P: Platform>(node: Node<P>) {
@@ -358,7 +358,7 @@
             "taking over: owner is {reason:?}, last contact {} ms ago",
             self.node.mono().since(self.node.last_contact.get())
         );
-        self.node.say("member", &text);
+        self.node.log_line("member", &text);
         self.reason = None;
         self.swap(reason, owned, fence).await;
     }
@@ -379,7 +379,7 @@
             .map(|member| {
                 let node = self.node.clone();
                 tokio::task::spawn_local(async move {
-                    let request = Request::Heard(fence);
+                    let request = Request::HasRecentContact(fence);
                     let vote = node.links.call(&member.address, &request, VOTE_TIMEOUT);
                     matches!(vote.await, Ok(Response::Flag(true)))
                 })
--- a/crates/stackpier-scheduler/src/node.rs
+++ b/crates/stackpier-scheduler/src/node.rs
@@ -192,14 +192,14 @@
         }
     }
 
-    /// say writes a log line for a part, within the part's rate limit.
-    pub(crate) fn say(&self, part: &'static str, text: &str) {
-        self.say_of(part, None, text);
+    /// log_line writes a log line for a part, within the part's rate limit.
+    pub(crate) fn log_line(&self, part: &'static str, text: &str) {
+        self.log_about(part, None, text);
     }
 
-    /// say_of writes a log line about a subject, such as a job or a task, within the same
+    /// log_about writes a log line about a subject, such as a job or a task, within the same
     /// limit.
-    pub(crate) fn say_of(&self, part: &'static str, subject: Option<String>, text: &str) {
+    pub(crate) fn log_about(&self, part: &'static str, subject: Option<String>, text: &str) {
         match self.limit.check(self.mono(), part) {
             Admission::Omit => {}
             Admission::Write(omitted) => {
@@ -248,7 +248,7 @@
     fn record_store_answer(&self) {
         self.store.answered.set(self.mono());
         if self.store.lost.replace(false) {
-            self.say("store", "the store answers again");
+            self.log_line("store", "the store answers again");
             self.store.regained.notify_waiters();
         }
     }
@@ -258,7 +258,7 @@
     /// as reachable. Treating it as lost would restart the transfer from the beginning, and
     /// a large configuration would never arrive over a slow link.
     fn record_store_timeout(&self, call: &'static str, why: &str) {
-        if self.platform.is_coming() {
+        if self.platform.is_receiving() {
             self.store.answered.set(self.mono());
         } else {
             self.record_store_failure(call, why);
@@ -270,7 +270,7 @@
         if !self.store.lost.replace(true) {
             let since = self.mono().since(self.store.answered.get());
             let text = format!("store call {call} failed: {why}; last answer {since} ms ago");
-            self.say("store", &text);
+            self.log_line("store", &text);
         }
     }
 
@@ -348,6 +348,6 @@
         let status_label = opentelemetry::KeyValue::new("status", i64::from(status));
         self.metrics.answers.add(1, &[status_label]);
         let text = format!("{status} after {took_ms} ms {why}");
-        self.say_of("request", Some(request.to_owned()), &text);
+        self.log_about("request", Some(request.to_owned()), &text);
     }
 }
--- a/crates/stackpier-scheduler/src/owner.rs
+++ b/crates/stackpier-scheduler/src/owner.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// is_at reports whether this daemon still owns the cell with `fence`.
-    pub(crate) fn is_at(&self, fence: u64) -> bool {
+    /// owns_with reports whether this daemon still owns the cell with `fence`.
+    pub(crate) fn owns_with(&self, fence: u64) -> bool {
         self.owner
             .borrow()
             .as_ref()
@@ -82,9 +82,11 @@
             Effect::Start(start) => self.spawn(move |node| node.send_start(fence, start)),
             Effect::Stop(stop) => self.spawn(move |node| node.send_stop(fence, stop)),
             Effect::Pace(pace) => self.spawn(move |node| node.send_pace(fence, pace)),
-            Effect::Renew(hold) => self.spawn(move |node| node.send_hold(fence, hold)),
-            Effect::TakeDown(order) => self.spawn(move |node| node.send_down(fence, order)),
-            Effect::RequestAdvice(ask) => self.spawn(move |node| node.send_ask(fence, ask)),
+            Effect::Renew(renewal) => self.spawn(move |node| node.send_renewal(fence, renewal)),
+            Effect::TakeDown(order) => self.spawn(move |node| node.send_take_down(fence, order)),
+            Effect::RequestAdvice(request) => {
+                self.spawn(move |node| node.request_advice(fence, request))
+            }
             Effect::Save(save) => self.spawn(move |node| async move {
                 let saved = node.save(fence, save).await;
                 node.feed(fence, Event::Saved(saved));
@@ -97,7 +99,7 @@
         let part = KeyValue::new("part", entry.part);
         self.metrics.decisions.add(1, &[part]);
         let subject = entry.subject.map(|name| name.to_string());
-        self.say_of(entry.part, subject, &entry.text);
+        self.log_about(entry.part, subject, &entry.text);
     }
 
     fn spawn<F, R>(&self, task: F)
@@ -153,7 +155,7 @@
             let jobs = owner.map_or(0, |owner| self.keep_unsaved(&owner));
             self.outdated.set(self.outdated.get().max(own));
             let text = format!("gave up the cell: {why}; {jobs} jobs are not saved");
-            self.say("owner", &text);
+            self.log_line("owner", &text);
         }
     }
 
@@ -167,7 +169,7 @@
 /// tick feeds the cell a tick every [`TICK_MS`] for as long as this daemon owns it with
 /// `fence`.
 pub(crate) async fn tick<P: Platform>(node: Node<P>, fence: u64) {
-    while node.is_at(fence) {
+    while node.owns_with(fence) {
         node.feed(fence, Event::Tick);
         node.record_gauges();
         pause(TICK_MS).await;
--- a/crates/stackpier-scheduler/src/relay.rs
+++ b/crates/stackpier-scheduler/src/relay.rs
@@ -256,7 +256,7 @@
 
     /// renew_or_forward sends a lease renewal, through another daemon under the same condition.
     pub(crate) async fn renew_or_forward(&self, renewal: &Renewal) -> Renewed {
-        let busy_ms = self.settings.costs.look_ms();
+        let busy_ms = self.settings.costs.renewal_ms();
         let Some(helper) = self.choose_helper(&renewal.address, &renewal.data_centre, busy_ms)
         else {
             return self.platform.renew(renewal).await;
@@ -279,7 +279,7 @@
 
     fn count_forwarded(&self, call: &'static str, answered: bool) {
         let outcome = if answered { "answered" } else { "silent" };
-        self.metrics.passed_calls.add(1, &labels(call, outcome));
+        self.metrics.forwarded_calls.add(1, &labels(call, outcome));
     }
 
     /// choose_helper returns the address of the daemon that calls a worker, or `None` if this
@@ -403,7 +403,7 @@
         if let Err(error) = received.and_then(Response::into_result) {
             let count = numbers.len();
             let text = format!("{helper} did not accept {count} forwarded calls: {error}");
-            self.say("relay", &text);
+            self.log_line("relay", &text);
             self.relays.record_failure(helper, self.mono());
             let mut unanswered = self.relays.unanswered.borrow_mut();
             // Dropping the channels ends the wait for the answers.
--- a/crates/stackpier-scheduler/src/relay/helper.rs
+++ b/crates/stackpier-scheduler/src/relay/helper.rs
@@ -33,7 +33,7 @@
                 "a batch of calls from {} arrived twice, the second copy is ignored",
                 batch.owner
             );
-            self.say("relay", &text);
+            self.log_line("relay", &text);
             return;
         }
         let starts = batch.take_starts(&mut self.relays.payloads.borrow_mut());
@@ -83,7 +83,7 @@
         };
         let request = Request::Answers(answers);
         if let Err(error) = self.links.call(&owner, &request, ANSWER_LIMIT).await {
-            self.say("relay", &format!("cannot send answers to {owner}: {error}"));
+            self.log_line("relay", &format!("cannot send answers to {owner}: {error}"));
         }
     }
 }
--- a/crates/stackpier-scheduler/src/saving.rs
+++ b/crates/stackpier-scheduler/src/saving.rs
@@ -30,9 +30,9 @@
 /// RETRY_MS is the pause after a write with an unknown outcome.
 const RETRY_MS: u64 = 60;
 
-/// MAX_LISTED_WORKERS is how many workers a log line names. It covers all workers of the
+/// MAX_NAMED_WORKERS is how many workers a log line names. It covers all workers of the
 /// smaller current deployments and takes a kilobyte.
-const MAX_LISTED_WORKERS: usize = 64;
+const MAX_NAMED_WORKERS: usize = 64;
 
 /// Revisions holds the last known revisions of the keys that the owner writes.
 #[derive(Debug, Default)]
@@ -70,7 +70,7 @@
     /// log_slow logs a save that took long.
     fn log_slow(&self, keys: usize, took_ms: u64) {
         if took_ms >= SLOW_SAVE_MS {
-            self.say("save", &format!("a save of {keys} keys took {took_ms} ms"));
+            self.log_line("save", &format!("a save of {keys} keys took {took_ms} ms"));
         }
     }
 
@@ -80,12 +80,12 @@
         for (job, progress) in &save.jobs {
             if progress.state.is_final() {
                 let text = format!("job is {:?} in the store", progress.state);
-                self.say_of("job", Some(keys::hex(*job)), &text);
+                self.log_about("job", Some(keys::hex(*job)), &text);
             }
         }
         if let Some(roster) = &save.roster {
             let text = format!("the roster in the store has {}", describe_roster(roster));
-            self.say("owner", &text);
+            self.log_line("owner", &text);
         }
     }
 
@@ -136,7 +136,7 @@
         match self.platform.plan_state(record.plan, record.completed) {
             Ok(state) => Some(state),
             Err(error) => {
-                self.say(
+                self.log_line(
                     "save",
                     &format!("cannot write the state of a maintenance plan: {error}"),
                 );
@@ -247,10 +247,10 @@
 }
 
 /// describe_roster returns the number of workers in a roster and the ids of the first
-/// [`MAX_LISTED_WORKERS`], for the log.
+/// [`MAX_NAMED_WORKERS`], for the log.
 pub(crate) fn describe_roster(roster: &[RosterEntry]) -> String {
     let ids = roster.iter().map(|entry| entry.id.as_str());
-    let first: Vec<&str> = ids.take(MAX_LISTED_WORKERS).collect();
+    let first: Vec<&str> = ids.take(MAX_NAMED_WORKERS).collect();
     format!("{} workers: {}", roster.len(), first.join(" "))
 }
 
--- a/crates/stackpier-scheduler/src/settings.rs
+++ b/crates/stackpier-scheduler/src/settings.rs
@@ -130,9 +130,9 @@
 }
 
 impl Costs {
-    /// look_ms returns how long a lease renewal keeps the link or the processor busy,
+    /// renewal_ms returns how long a lease renewal keeps the link or the processor busy,
     /// whichever is longer, in milliseconds.
-    pub fn look_ms(&self) -> f64 {
+    pub fn renewal_ms(&self) -> f64 {
         let link_ms = RENEWAL_BYTES / (self.link_mbps * BYTES_PER_MS);
         link_ms.max(RENEWAL_PROCESSOR_MS / self.cores)
     }
--- a/crates/stackpier-scheduler/src/store.rs
+++ b/crates/stackpier-scheduler/src/store.rs
@@ -134,9 +134,9 @@
         wait_ms: u64,
     ) -> impl Future<Output = Result<Watched>>;
 
-    /// is_coming reports whether a long answer is being received, so that other calls wait
+    /// is_receiving reports whether a long answer is being received, so that other calls wait
     /// behind it on the link.
-    fn is_coming(&self) -> bool;
+    fn is_receiving(&self) -> bool;
 
     /// commit sends a transaction and returns its outcome.
     fn commit(&self, transaction: &Transaction) -> impl Future<Output = Committed>;
--- a/crates/stackpier-scheduler/src/watch.rs
+++ b/crates/stackpier-scheduler/src/watch.rs
@@ -110,7 +110,7 @@
     };
     match watched {
         Watched::Compacted => {
-            node.say(
+            node.log_line(
                 "watch",
                 &format!(
                     "the store compacted the history of {}, listing again",
--- a/crates/stackpier-state/src/job.rs
+++ b/crates/stackpier-state/src/job.rs
@@ -211,15 +211,17 @@
 pub struct Suspect {
     /// The task's place among all tasks of the job.
     pub task: u32,
-    /// The workers' lives that fell silent soon after they started it, or may yet: of the last
-    /// start it is not known then what came of it.
-    pub lives: Vec<Incarnation>,
+    /// The incarnations of workers that fell silent soon after they started it. The last one may
+    /// still be alive, because a start is saved before its outcome is known.
+    #[serde(rename = "lives")]
+    pub incarnations: Vec<Incarnation>,
     /// The longest time from a start until the worker was found silent, in milliseconds.
     pub span_ms: u64,
-    /// Whether nothing else can have brought the last of them down.
+    /// Whether nothing else can have caused the last of these crashes.
     pub alone: bool,
-    /// Whether one of them did not confirm the start.
-    pub unclear: bool,
+    /// Whether at least one of the workers did not confirm the start.
+    #[serde(rename = "unclear")]
+    pub unconfirmed: bool,
 }
 
 /// Checkpoint is the saved progress of one task.
