--- a/crates/stackpier-cell/src/cell.rs
+++ b/crates/stackpier-cell/src/cell.rs
@@ -65,7 +65,7 @@
     pub(crate) best_effort_pass: BestEffortPass,
     pub(crate) summary_logged_at: Millis,
     /// When all runs were last checked.
-    pub(crate) swept: Millis,
+    pub(crate) swept_at: Millis,
     pub(crate) model: Model,
     pub(crate) cycle: Cycle,
     /// When the learned model was last saved.
@@ -124,7 +124,7 @@
                 now.mono,
             )),
             summary_logged_at: now.mono,
-            swept: now.mono,
+            swept_at: now.mono,
             model: Model::default(),
             cycle: Cycle::default(),
             model_saved_at: now.mono,
@@ -335,7 +335,7 @@
         task.runs.retain(|other| *other != key);
         // A run that never started doesn't change when the task's last run ended.
         if run.confirmed.is_some() {
-            task.ended = Some(now);
+            task.last_ended_at = Some(now);
         }
         let step = self.step_mut(run.step);
         step.runs -= 1;
@@ -385,8 +385,8 @@
         self.check_workers();
         self.check_confirmed();
         let now = self.now.mono;
-        if now.since(self.swept) >= SWEEP_MS {
-            self.swept = now;
+        if now.since(self.swept_at) >= SWEEP_MS {
+            self.swept_at = now;
             self.check_suspects();
             self.check_runs();
             self.check_drains();
--- a/crates/stackpier-cell/src/crash/isolation.rs
+++ b/crates/stackpier-cell/src/crash/isolation.rs
@@ -68,7 +68,7 @@
             return true;
         };
         let now = self.now.mono;
-        let waited = entry.ended.map_or(0, |at| now.since(at));
+        let waited = entry.last_ended_at.map_or(0, |at| now.since(at));
         let strict = suspect.incarnations.len() >= MIN_CRASHES - 1 && waited < PATIENCE_MS;
         let quiet_ms = if strict { CLEAR_AFTER_MS } else { QUIET_MS };
         let began_before = |run: &RunKey| {
--- a/crates/stackpier-cell/src/crash/record.rs
+++ b/crates/stackpier-cell/src/crash/record.rs
@@ -49,7 +49,7 @@
     /// has not received reports from all workers.
     fn may_have_crashed_unseen(&self, task: TaskKey) -> bool {
         let inherited = self.job_of(task).inherited;
-        inherited && self.task(task).ended.is_none() && self.misses_workers()
+        inherited && self.task(task).last_ended_at.is_none() && self.misses_workers()
     }
 
     /// misses_workers reports whether a predecessor may have started something on a worker that
--- a/crates/stackpier-cell/src/health.rs
+++ b/crates/stackpier-cell/src/health.rs
@@ -17,29 +17,29 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
     /// Failed runs since the last successful one.
-    failed: u32,
+    failures: u32,
     blocked_until: Millis,
     /// Whether only one start at a time is allowed.
     probing: bool,
     /// When a run last succeeded.
-    worked: Option<Millis>,
+    succeeded_at: Option<Millis>,
 }
 
 impl Health {
     /// record_success records a run that did its work.
     pub(crate) fn record_success(&mut self, now: Millis) {
         *self = Health {
-            worked: Some(now),
+            succeeded_at: Some(now),
             ..Health::default()
         };
     }
 
     /// record_failure records a run that failed.
     pub(crate) fn record_failure(&mut self, now: Millis) {
-        self.failed += 1;
-        let step = (self.failed as usize - 1).min(BLOCK_MS.len() - 1);
+        self.failures += 1;
+        let step = (self.failures as usize - 1).min(BLOCK_MS.len() - 1);
         self.block(now, BLOCK_MS[step]);
-        self.probing = self.failed > 1;
+        self.probing = self.failures > 1;
     }
 
     /// record_stall records a run that made no progress.
@@ -66,11 +66,11 @@
     /// has_recent_success reports whether a run has succeeded on the worker and none has failed
     /// since.
     pub(crate) fn has_recent_success(&self) -> bool {
-        self.worked.is_some() && self.failed == 0
+        self.succeeded_at.is_some() && self.failures == 0
     }
 
     /// has_recent_faults reports whether runs have recently failed or stalled on the worker.
     pub(crate) fn has_recent_faults(&self) -> bool {
-        self.failed > 0 || self.probing
+        self.failures > 0 || self.probing
     }
 }
--- a/crates/stackpier-cell/src/job.rs
+++ b/crates/stackpier-cell/src/job.rs
@@ -130,7 +130,7 @@
     /// The earliest next start.
     pub not_before: Millis,
     /// When its last run ended.
-    pub ended: Option<Millis>,
+    pub last_ended_at: Option<Millis>,
     /// Whether it is in its step's list of ready tasks.
     pub ready: bool,
 }
--- a/crates/stackpier-cell/src/lifecycle.rs
+++ b/crates/stackpier-cell/src/lifecycle.rs
@@ -145,7 +145,7 @@
                 presumed_ended: false,
                 failed_on: Vec::new(),
                 not_before: Millis(0),
-                ended: None,
+                last_ended_at: None,
                 ready: false,
             });
         }
--- a/crates/stackpier-cell/src/order.rs
+++ b/crates/stackpier-cell/src/order.rs
@@ -99,7 +99,7 @@
             progressed_at: self.now.mono,
             used_milli: None,
             load: None,
-            measured: None,
+            measured_since: None,
             deviation: 0.0,
             over_since: None,
             recovered_since: None,
--- a/crates/stackpier-cell/src/place/starvation.rs
+++ b/crates/stackpier-cell/src/place/starvation.rs
@@ -98,8 +98,11 @@
         let task = self.task(key);
         let step = self.step_of(task.step);
         let inherited = self.job(step.job).inherited;
-        let waited_ms = self.now.mono.since(task.ended.unwrap_or(step.ready_since));
-        match task.ended {
+        let waited_ms = self
+            .now
+            .mono
+            .since(task.last_ended_at.unwrap_or(step.ready_since));
+        match task.last_ended_at {
             None if inherited => waited_ms + PRIOR_WAIT_MS,
             _ => waited_ms,
         }
--- a/crates/stackpier-cell/src/run.rs
+++ b/crates/stackpier-cell/src/run.rs
@@ -87,7 +87,7 @@
     /// The load of a serving task, from its last reported tail latency.
     pub(crate) load: Option<f64>,
     /// Since when its tail latency has been reported.
-    pub(crate) measured: Option<Millis>,
+    pub(crate) measured_since: Option<Millis>,
     /// The smoothed excess of its load over the prediction.
     pub(crate) deviation: f64,
     /// Since when the tail latency has been over its target.
@@ -112,14 +112,14 @@
     pub(crate) fn record_tail(&mut self, now: Millis, tail_ms: Option<u32>, target_ms: u32) {
         let Some(tail_ms) = tail_ms.filter(|tail_ms| *tail_ms > 0) else {
             self.load = None;
-            self.measured = None;
+            self.measured_since = None;
             self.over_since = None;
             self.recovered_since = None;
             return;
         };
         let load = interference::load(tail_ms, target_ms);
         self.load = Some(load);
-        self.measured.get_or_insert(now);
+        self.measured_since.get_or_insert(now);
         if load >= RECOVERED_LOAD {
             self.recovered_since = None;
         } else if now.since(*self.recovered_since.get_or_insert(now)) >= RECOVERED_MS {
@@ -132,8 +132,9 @@
 
     /// settled_load returns the load of a serving task that has been measured for long enough.
     pub(crate) fn settled_load(&self, now: Millis) -> Option<f64> {
-        let measured = self.measured?;
-        self.load.filter(|_| now.since(measured) >= WARM_UP_MS)
+        let measured_since = self.measured_since?;
+        self.load
+            .filter(|_| now.since(measured_since) >= WARM_UP_MS)
     }
 
     /// is_settled reports whether the measurements in a report reflect the run's present pace.
