--- a/crates/stackpier-core/src/arena.rs
+++ b/crates/stackpier-core/src/arena.rs
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-//! An arena that hands out small `Copy` indices for its values.
+//! An arena that gives each of its values a small `Copy` index.
 
 use std::{
     hash::{Hash, Hasher},
     marker::PhantomData,
 };
 
-/// Index points to a value of one arena of `T`.
+/// Index refers to a value in an arena of `T`. It is valid for the arena that
+/// returned it, until the value is removed.
 #[derive(Debug)]
 pub struct Index<T> {
     slot: u32,
@@ -23,7 +24,8 @@
 impl<T> Copy for Index<T> {}
 
 impl<T> Default for Index<T> {
-    /// default returns the index of an arena's first value.
+    /// default returns the index of the first value that is inserted into an
+    /// arena.
     fn default() -> Self {
         Index {
             slot: 0,
@@ -48,8 +50,9 @@
     }
 }
 
-/// Arena stores values in slots that are used again after a removal. An
-/// index of a removed value never reaches the slot's next value.
+/// Arena stores values in slots and reuses the slots of removed values. Each
+/// slot has a generation that every removal increments, so that the index of a
+/// removed value does not refer to the next value in its slot.
 #[derive(Debug)]
 pub struct Arena<T> {
     slots: Vec<Slot<T>>,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// get returns the value, or `None` once it was removed.
+    /// get returns the value, or `None` if it has been removed.
     pub fn get(&self, index: Index<T>) -> Option<&T> {
         let slot = self.slots.get(index.slot as usize)?;
         (slot.generation == index.generation)
@@ -98,7 +101,7 @@
             .flatten()
     }
 
-    /// get_mut returns the value for change, or `None` once it was removed.
+    /// get_mut returns the value as mutable, or `None` if it has been removed.
     pub fn get_mut(&mut self, index: Index<T>) -> Option<&mut T> {
         let slot = self.slots.get_mut(index.slot as usize)?;
         (slot.generation == index.generation)
@@ -106,7 +109,8 @@
             .flatten()
     }
 
-    /// remove takes the value out.
+    /// remove removes and returns the value, or returns `None` if it has already
+    /// been removed.
     pub fn remove(&mut self, index: Index<T>) -> Option<T> {
         let slot = self.slots.get_mut(index.slot as usize)?;
         if slot.generation != index.generation {
@@ -118,7 +122,7 @@
         Some(value)
     }
 
-    /// values returns all values present, in slot order.
+    /// values returns all values in the arena, in slot order.
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.slots.iter().filter_map(|slot| slot.value.as_ref())
     }
--- a/crates/stackpier-core/src/error.rs
+++ b/crates/stackpier-core/src/error.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The closed list of error kinds and the table from kind to answer.
+//! The error kinds and the table of the answer for each kind.
 //!
-//! `docs/ERRORS.md` shows the same table; a test compares the two.
+//! `docs/ERRORS.md` has the same table; a test compares the two.
 
 use std::fmt;
 
@@ -10,35 +10,37 @@
 /// Result is the outcome of an operation that fails with an [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Kind is the closed list of what can go wrong.
+/// Kind is what went wrong. The set is closed: each kind has a row in
+/// [`ANSWERS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
     /// The request or an intent is malformed.
     BadInput,
-    /// A body or a header is over its bound.
+    /// A body or a header exceeds its size limit.
     TooLarge,
     /// The caller sent its request too slowly.
     TooSlow,
     /// The method is not allowed at this path.
     WrongMethod,
-    /// No intent of this name is known.
+    /// No intent with this name is known.
     NotFound,
-    /// A request that must not be repeated came without a valid key.
+    /// A request that must not be repeated has no valid key.
     BadKey,
-    /// The key is older than the ledger's window.
+    /// The key is older than the time for which the ledger keeps records.
     KeyExpired,
-    /// The key's time lies ahead of the clock by more than the allowance.
+    /// The key's time is ahead of the daemon's clock by more than is allowed.
     KeyFromFuture,
-    /// The key was sealed by a repeat that came by another way.
+    /// The key was sealed by a repeat of the request that arrived by another route
+    /// and may have run.
     KeySealed,
-    /// The same key is being served; its outcome is not there yet.
+    /// A request with the same key is running; its outcome is not known yet.
     InProgress,
-    /// The daemon serves as many callers as it may.
+    /// The daemon already serves as many callers as it is allowed to.
     TooManyCallers,
-    /// The expected wait is past the deadline, or the queue is full.
+    /// The request is expected to wait beyond its deadline, or the queue is full.
     Overloaded,
-    /// No upstream of the service can take requests.
+    /// No upstream of the service accepts requests.
     NoUpstream,
     /// The deadline passed before the request was sent.
     DeadlinePassed,
@@ -48,29 +50,29 @@
     Stopping,
     /// The request may have run; its outcome is not known.
     OutcomeUnknown,
-    /// The object was changed by somebody else.
+    /// The object was changed by another writer.
     Conflict,
-    /// The store can't be reached, nothing was changed.
+    /// The store can't be reached; nothing was changed.
     StoreUnavailable,
-    /// The store took a write whose effect can't be told.
+    /// A write was sent to the store, and it is not known whether it took effect.
     WriteUnknown,
     /// No daemon could be reached.
     Unreachable,
-    /// A fault of the program.
+    /// A bug in the program.
     Internal,
 }
 
-/// Ran tells whether the work behind a failed operation was done.
+/// Ran reports whether the work of a failed operation was done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
-    /// It provably was not, and will not be.
+    /// The work was provably not done and will not be done.
     No,
-    /// It may have been.
+    /// The work may have been done.
     Unknown,
 }
 
-/// Answer is what a caller or operator gets for one kind of error.
+/// Answer is how one kind of error is reported to callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The kind.
@@ -81,11 +83,12 @@
     pub exit: i32,
     /// Whether the work was done.
     pub ran: Ran,
-    /// Seconds after which coming back helps, if it does.
+    /// Seconds after which a retry may succeed; `None` if the kind says nothing
+    /// about that.
     pub retry_after_s: Option<u32>,
 }
 
-/// ANSWERS is the table from kind to answer, one row for each kind.
+/// ANSWERS holds the answer for each kind, in the order of the kinds.
 pub const ANSWERS: [Answer; 22] = [
     row(Kind::BadInput, 400, 2, Ran::No, None),
     row(Kind::TooLarge, 413, 2, Ran::No, None),
@@ -127,7 +130,7 @@
         ANSWERS[self as usize]
     }
 
-    /// as_str returns the machine-readable word of the kind.
+    /// as_str returns the machine-readable name of the kind.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::BadInput => "bad-input",
@@ -162,24 +165,26 @@
     }
 }
 
-/// Error is a kind with a sentence for people.
+/// Error is a kind with a message for people.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Error {
     /// What went wrong, for programs.
     pub kind: Kind,
     /// What went wrong, for people.
     pub message: String,
-    /// Milliseconds after which coming back helps, where more is known than
-    /// the table says.
+    /// Milliseconds after which a retry may succeed, if more is known than
+    /// [`ANSWERS`] says for the kind.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
-    /// Whether the work was done, where more is known than the table says.
+    /// Whether the work was done, if more is known than [`ANSWERS`] says for the
+    /// kind.
     #[serde(default)]
     pub ran: Option<Ran>,
 }
 
 impl Error {
-    /// new builds an error of any kind.
+    /// new returns an error of a kind, with the retry time and the [`Ran`] of
+    /// its row in [`ANSWERS`].
     pub fn new(kind: Kind, message: impl Into<String>) -> Error {
         Error {
             kind,
@@ -189,7 +194,7 @@
         }
     }
 
-    /// after sets when coming back helps.
+    /// after sets after how many milliseconds a retry may succeed.
     pub fn after(self, ms: u64) -> Error {
         Error {
             retry_after_ms: Some(ms),
@@ -205,13 +210,13 @@
         }
     }
 
-    /// ran tells whether the work was done.
+    /// ran reports whether the work was done.
     pub fn ran(&self) -> Ran {
         self.ran.unwrap_or(self.kind.answer().ran)
     }
 
-    /// retry_after_s returns the whole seconds after which coming back helps,
-    /// if it does.
+    /// retry_after_s returns after how many seconds a retry may succeed, rounded
+    /// up to at least one, if that is known.
     pub fn retry_after_s(&self) -> Option<u32> {
         let known = self
             .retry_after_ms
--- a/crates/stackpier-core/src/field.rs
+++ b/crates/stackpier-core/src/field.rs
@@ -1,19 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Errors of raw input that name the field, its value and what is allowed.
+//! Errors about invalid input, which name the field, its value and the allowed
+//! values.
 
 use std::fmt;
 use std::ops::RangeInclusive;
 
 use serde::{Deserialize, Serialize};
 
-/// Invalid names one wrong field of an input.
+/// Invalid describes one invalid field of an input.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Invalid {
     /// The path of the field, such as `limits.callers`.
     pub field: String,
     /// The value that was given, as text.
     pub value: String,
-    /// What the field allows, with its unit.
+    /// The allowed values, with their unit.
     pub allowed: String,
 }
 
@@ -29,7 +30,7 @@
 
 impl std::error::Error for Invalid {}
 
-/// invalid builds the error for one field.
+/// invalid returns the error for one field.
 pub fn invalid(field: &str, value: impl fmt::Display, allowed: impl fmt::Display) -> Invalid {
     Invalid {
         field: field.to_owned(),
@@ -38,7 +39,8 @@
     }
 }
 
-/// within checks that a number is in a range; `unit` ends the message.
+/// within returns `value` if it is in `range`, else an error whose message ends
+/// with `unit`.
 pub fn within<T>(field: &str, value: T, range: RangeInclusive<T>, unit: &str) -> Result<T, Invalid>
 where
     T: PartialOrd + fmt::Display + Copy,
--- a/crates/stackpier-core/src/incarnation.rs
+++ b/crates/stackpier-core/src/incarnation.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! One life of a worker.
+//! Incarnations of workers.
 
 use std::fmt;
 
@@ -7,16 +7,17 @@
 
 use crate::Unix;
 
-/// Incarnation names one life of a worker: it may start again under the id that it had.
+/// Incarnation identifies one start of a worker. A worker that restarts may keep its id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// The id of the worker.
     pub id: String,
-    /// When this life was started, by the worker's wall clock, if that is known.
+    /// When this incarnation started, by the worker's wall clock, if that is known.
     pub started_at: Option<Unix>,
 }
 
-/// differ tells whether two starts are known and are not the same: they are of two lives.
+/// differ reports whether two start times are both known and unequal, and so belong to two
+/// incarnations.
 pub fn differ(one: Option<Unix>, other: Option<Unix>) -> bool {
     one.is_some() && other.is_some() && one != other
 }
--- a/crates/stackpier-core/src/lib.rs
+++ b/crates/stackpier-core/src/lib.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Shared vocabulary of stackpier: names, keys, sizes, time and the closed
-//! list of error kinds.
+//! Types that all crates of stackpier share: names, keys, sizes, time and the
+//! error kinds.
 //!
 //! Everything here is plain data. The crate does no I/O and reads no clock.
 
--- a/crates/stackpier-core/src/name.rs
+++ b/crates/stackpier-core/src/name.rs
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Short names held inline, so that a name is a small `Copy` key.
+//! Short names, stored inline so that a name is a small `Copy` key.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// MAX_LEN is the longest name in bytes.
+/// MAX_LEN is the maximum length of a name in bytes.
 pub const MAX_LEN: usize = 31;
 
-/// Name is the checked name of a service, job, team, VM, rack or data centre.
+/// Name is the validated name of a service, job, team, VM, rack or data centre.
 ///
-/// It has 1 to [`MAX_LEN`] bytes out of `a-z`, `0-9` and `-`, and starts with
-/// a letter or a digit.
+/// It consists of 1 to [`MAX_LEN`] bytes from `a-z`, `0-9` and `-`, and starts
+/// with a letter or a digit.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name {
@@ -19,14 +19,14 @@
     bytes: [u8; MAX_LEN],
 }
 
-/// Invalid says why a text is no name.
+/// Invalid is the reason why a text is not a valid name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invalid {
     /// The text is empty.
     Empty,
     /// The text is longer than [`MAX_LEN`] bytes.
     TooLong,
-    /// The text holds a byte that is not allowed at its place.
+    /// The text contains a byte that is not allowed at its position.
     BadByte,
 }
 
--- a/crates/stackpier-core/src/size.rs
+++ b/crates/stackpier-core/src/size.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Size is an amount of a worker's resources, either needed or offered.
+/// Size is an amount of resources, which a task requests or a worker offers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
@@ -19,14 +19,15 @@
 }
 
 impl Size {
-    /// fits tells whether this size is within `capacity` in every dimension.
+    /// fits reports whether this size is within `capacity` in every dimension.
     pub fn fits(&self, capacity: &Size) -> bool {
         self.milli_cores <= capacity.milli_cores
             && self.memory_mib <= capacity.memory_mib
             && self.accelerators <= capacity.accelerators
     }
 
-    /// minus returns what is left after taking `used`, never below zero.
+    /// minus returns what is left of this size without `used`, at least zero in
+    /// every dimension.
     pub fn minus(&self, used: &Size) -> Size {
         Size {
             milli_cores: self.milli_cores.saturating_sub(used.milli_cores),
@@ -35,7 +36,7 @@
         }
     }
 
-    /// max_each returns the larger of two sizes in every dimension.
+    /// max_each returns the larger value of both sizes in every dimension.
     pub fn max_each(&self, other: &Size) -> Size {
         Size {
             milli_cores: self.milli_cores.max(other.milli_cores),
--- a/crates/stackpier-core/src/time.rs
+++ b/crates/stackpier-core/src/time.rs
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Points in time, passed into every decision by its caller.
+//! Points in time. Code that makes decisions reads no clock; its caller passes
+//! the current time in.
 
 use serde::{Deserialize, Serialize};
 
-/// Millis is a point on one process's own monotonic clock, in milliseconds.
+/// Millis is a point on a process's monotonic clock, in milliseconds.
 ///
-/// Values of two processes are not comparable.
+/// Values from different processes can't be compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/stackpier-core/tests/errors.rs
+++ b/crates/stackpier-core/tests/errors.rs
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The table of error kinds against the page that shows it.
+//! Checks that `docs/ERRORS.md` has the same table of error kinds as the code.
 
 use stackpier_core::error::{ANSWERS, Ran};
 
 const PAGE: &str = include_str!("../../../docs/ERRORS.md");
 
 #[test]
-fn every_kind_stands_in_its_own_place() {
+fn every_kind_has_its_own_row() {
     for answer in ANSWERS {
         assert_eq!(answer.kind.answer(), answer);
     }
 }
 
 #[test]
-fn page_shows_the_table() {
+fn page_has_the_same_table() {
     let rows: Vec<&str> = PAGE
         .lines()
         .filter(|line| line.starts_with("| `"))
--- a/crates/stackpier-protocol/src/lib.rs
+++ b/crates/stackpier-protocol/src/lib.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Typed messages and their codecs: between daemons, and towards workers,
+//! Message types and their codecs: between daemons, and to and from workers,
 //! the platform and operators.
 
 pub mod caller;
--- a/crates/stackpier-protocol/src/operator.rs
+++ b/crates/stackpier-protocol/src/operator.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The operators' interface: HTTP with JSON, used by the command-line tool.
+//! The operators' interface: JSON over HTTP, used by the command-line tool.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::{Error, Name, error::Ran, key::Attempt};
@@ -12,9 +12,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Submit {
-    /// Made by the submitter; the same id twice is one submission.
+    /// The submitter's id for this submission. A repeat with the same id has no
+    /// further effect.
     pub submission: u128,
-    /// The version the submitter saw: `None` takes any, zero wants none.
+    /// The version that the intent must have now: zero if it must not exist,
+    /// `None` if any will do.
     pub expect: Option<u64>,
     /// The intent.
     pub intent: Raw,
@@ -24,22 +26,23 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cancel {
-    /// Made by the submitter; the same id twice is one submission.
+    /// The submitter's id for this submission. A repeat with the same id has no
+    /// further effect.
     pub submission: u128,
-    /// The version the submitter saw: `None` takes any.
+    /// The version that the intent must have now; `None` if any will do.
     pub expect: Option<u64>,
 }
 
-/// Accepted says that a change is stored.
+/// Accepted confirms that a change is stored.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The intent.
+    /// The name of the intent.
     pub name: Name,
-    /// Its version now.
+    /// The version of the intent after the change.
     pub version: u64,
 }
 
-/// Listed is a row of the list of intents.
+/// Listed is the list of intents.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listed {
     /// The accepted intents.
@@ -49,15 +52,15 @@
 /// TaskStatus is the state of one task.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Its data centre.
+    /// The data centre it runs in.
     pub data_centre: Name,
     /// Its index within the intent.
     pub index: u32,
     /// The current attempt.
     pub attempt: Attempt,
-    /// Where it is.
+    /// Whether it waits, is claimed for a worker, or has ended.
     pub place: Place,
-    /// Whether the answering daemon knows it to run.
+    /// Whether the answering daemon knows that it is running.
     pub running: bool,
 }
 
@@ -77,7 +80,7 @@
     pub error: Error,
     /// Whether the work was done.
     pub ran: Ran,
-    /// Seconds after which coming back helps.
+    /// Seconds after which a retry may succeed, if that is known.
     pub retry_after_s: Option<u32>,
 }
 
--- a/crates/stackpier-protocol/src/packed.rs
+++ b/crates/stackpier-protocol/src/packed.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Pages inside JSON: `bincode` as base64 text, about a quarter of the bytes of
-//! plain JSON. For use as `#[serde(with = "packed")]`.
+//! Encodes pages within JSON as base64 text of their `bincode` form, which takes
+//! about a quarter of the bytes of plain JSON. For use as
+//! `#[serde(with = "packed")]`.
 
 use base64::{Engine, engine::general_purpose::STANDARD_NO_PAD};
 use serde::{Deserialize, Deserializer, Serializer, de::Error as _, ser::Error as _};
--- a/crates/stackpier-protocol/src/peer.rs
+++ b/crates/stackpier-protocol/src/peer.rs
@@ -20,52 +20,52 @@
 /// Request is a message that expects a [`Response`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// What the sender is and knows.
+    /// Sends the sender's state and what it knows.
     Heartbeat(Heartbeat),
-    /// Asks which intents pages the answering daemon has.
+    /// Requests the list of intents pages that the answering daemon has.
     Digest,
-    /// Asks for intents pages.
+    /// Requests the intents pages of these shards.
     Shards(Vec<u16>),
-    /// Asks a holder to grant a key under a version of the holder map.
+    /// Requests that a holder grant a key under a version of the holder map.
     Grant(Grant),
-    /// Asks a holder to grant a key no more.
+    /// Requests that a holder no longer grant a key.
     Seal(Seal),
-    /// Tells a holder the outcome of a key.
+    /// Reports the outcome of a key to its holder.
     Finish(Finish),
-    /// Asks any daemon of another data centre to seal a key there.
+    /// Requests that a daemon of another data centre seal a key there.
     SealThere(Key),
-    /// Says that pages changed.
+    /// Reports that pages changed.
     Hint(Hint),
-    /// Asks for the holder map of the answering daemon's data centre.
+    /// Requests the holder map of the answering daemon's data centre.
     Map,
-    /// Asks for the list of VMs as the answering daemon knows it.
+    /// Requests the list of VMs as the answering daemon knows it.
     Roster,
 }
 
 /// Response answers a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
-    /// What the answering daemon has.
+    /// Answer to [`Request::Heartbeat`].
     Heartbeat(HeartbeatReply),
-    /// The intents pages the daemon has.
+    /// The list of intents pages that the daemon has.
     Digest(Digest),
-    /// The intents pages that were asked for and are known.
+    /// Those of the requested intents pages that the daemon has.
     Shards(Vec<ShardPage>),
     /// Answer to a grant or a seal.
     Held(Held),
     /// Answer to [`Request::SealThere`].
     SealedThere(Sealing),
-    /// The holder map the daemon knows.
+    /// The holder map that the daemon knows.
     Map(Map),
-    /// The list of VMs the daemon knows.
+    /// The list of VMs that the daemon knows.
     Roster(Roster),
-    /// The message was taken.
+    /// The message was received; it has no other answer.
     Taken,
-    /// The message could not be served.
+    /// The message could not be processed.
     Failed(Kind),
 }
 
-/// Heartbeat says what the sender is and knows.
+/// Heartbeat is the state of the sender and what it knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
@@ -74,71 +74,73 @@
     pub data_centre: Name,
     /// Whether it is stopping.
     pub leaving: bool,
-    /// Checksum of the digest of the intents it has.
+    /// Checksum of the digest of the intents that it has.
     pub sum: u64,
-    /// The version of the holder map it goes by.
+    /// The version of the holder map that it uses.
     pub holders: u64,
-    /// Workers it knows to be leaving or gone.
+    /// Workers that it knows to be leaving or gone.
     pub departing: Vec<Name>,
-    /// The racks it renews, for daemons of its own data centre.
+    /// Reports on the racks that it renews, for daemons of its data centre.
     pub racks: Vec<RackReport>,
-    /// Racks it has given up, each with the term it saw.
+    /// Racks that it no longer renews, each with the term that it saw.
     pub renounced: Vec<Renounced>,
 }
 
-/// HeartbeatReply says what the answering daemon is and has.
+/// HeartbeatReply is the state of the answering daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
     /// The answering daemon.
     pub from: Member,
     /// Whether it is stopping.
     pub leaving: bool,
-    /// Checksum of the digest of the intents it has.
+    /// Checksum of the digest of the intents that it has.
     pub sum: u64,
 }
 
-/// Renounced promises not to renew a rack below a term.
+/// Renounced is a promise not to renew leases in a rack under terms below a
+/// given one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renounced {
     /// The rack.
     pub rack: Name,
-    /// The promise holds for terms below this one.
+    /// The promise applies to terms below this one.
     pub below: u64,
 }
 
-/// RackReport is a renewer's word on its rack.
+/// RackReport is a renewer's report on its rack.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RackReport {
     /// The rack.
     pub rack: Name,
     /// The VM of the renewer.
     pub renewer: Name,
-    /// The renewer's term; a report with a lower one is out of date.
+    /// The renewer's term. Reports with a lower term are out of date.
     pub term: u64,
-    /// Counts the changes of the report within the term.
+    /// The number of the report's changes within the term.
     pub change: u64,
-    /// The workers that take tasks.
+    /// The workers that accept tasks.
     pub workers: Vec<WorkerReport>,
-    /// The service tasks that run.
+    /// The service tasks that are running.
     pub endpoints: Vec<Endpoint>,
     /// Pairs known to interfere.
     pub pairs: Vec<PairReport>,
 }
 
-/// WorkerReport says what is left on a worker.
+/// WorkerReport is the capacity of a worker and how much of it is free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerReport {
     /// The worker.
     pub worker: Name,
-    /// What it offers in all.
+    /// Its total capacity.
     pub capacity: Size,
-    /// What is not committed.
+    /// The part of the capacity that is not committed to runs.
     pub free: Size,
-    /// Slowdown of the service tasks on it, in thousandths; 1,000 is none.
+    /// Slowdown of the service tasks on it, in thousandths; 1,000 means none.
     pub slowdown_milli: u32,
 }
 
-/// PairReport is what is believed of a service beside a batch job.
+/// PairReport is the estimated effect of a batch job on a service whose task
+/// shares a worker with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PairReport {
     /// The service.
@@ -148,7 +150,7 @@
     /// Slowdown that one task of the job adds to a fully loaded service task,
     /// in thousandths.
     pub excess_milli: u32,
-    /// Standard deviation of that, in thousandths.
+    /// Standard deviation of `excess_milli`, in thousandths.
     pub deviation_milli: u32,
 }
 
@@ -163,65 +165,66 @@
     pub run: Run,
 }
 
-/// ShardPage is an intents page.
+/// ShardPage is one intents page and its revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardPage {
     /// The shard.
     pub shard: u16,
-    /// Its revision.
+    /// The revision of the page.
     pub revision: Revision,
-    /// Its value.
+    /// The page.
     pub page: intent::Shard,
 }
 
-/// Grant asks the holder of a key to let `to` run it.
+/// Grant requests that the holder of a key let `to` run the keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The key.
     pub key: Key,
-    /// The version of the holder map the sender goes by.
+    /// The version of the holder map that the sender uses.
     pub version: u64,
-    /// The holder it is meant for.
+    /// The holder that the message is meant for.
     pub holder: Boot,
-    /// The try that will run it.
+    /// The attempt that will run the request.
     pub to: Grantee,
 }
 
-/// Seal asks a holder to grant a key no more.
+/// Seal requests that a holder no longer grant a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seal {
     /// The key.
     pub key: Key,
-    /// The holder it is meant for.
+    /// The holder that the message is meant for.
     pub holder: Boot,
-    /// Why: the record is taken at a later holder, or nowhere here.
+    /// Why: the key may be granted by a later holder, or nowhere in this data
+    /// centre.
     pub closing: Closing,
-    /// The version the sender takes for the newest, at that version's holder;
-    /// `None` at the holders of earlier versions.
+    /// The newest version of the map that the sender knows, if the message goes
+    /// to that version's holder; `None` for the holders of earlier versions.
     pub newest: Option<u64>,
 }
 
-/// Finish tells the holder of a key how its run ended.
+/// Finish reports to the holder of a key how the run of the request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finish {
     /// The key.
     pub key: Key,
-    /// The try it was granted to.
+    /// The attempt that the key was granted to.
     pub by: Grantee,
     /// What is known of the run.
     pub record: Record,
 }
 
-/// Held is a holder's answer.
+/// Held is a holder's answer to a [`Grant`] or a [`Seal`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Held {
     /// Answer to a grant.
     Granting(Granting),
     /// Answer to a seal.
     Record(Record),
-    /// The holder goes by a newer version of the map, which follows.
+    /// The holder uses a newer version of the map, which is included.
     Newer(Map),
-    /// The holder does not know the sender's version yet.
+    /// The holder does not know the sender's version of the map yet.
     Behind,
     /// The message is meant for another run of the daemon.
     OtherBoot,
@@ -230,18 +233,18 @@
 /// Sealing is the outcome of sealing a key in a whole data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Sealing {
-    /// Every holder there refuses the key from now on.
+    /// Every holder there now refuses the key.
     Sealed,
-    /// The key has this record there.
+    /// A holder there has this record of the key.
     Found(Record),
-    /// Some holder there can't be asked.
+    /// At least one holder there can't be reached.
     Unknown,
 }
 
-/// Claims says what the homes of a shard claim on a rack, as stored at one
-/// revision. A claim stands until the rack's page shows its run as ended, so
-/// the word may be taken late, but not after rows were dropped by a later
-/// revision.
+/// Claims lists what the homes of a shard claim on a rack, as stored at one
+/// revision. A claim remains until the rack's page shows that its run has ended,
+/// so the message may be applied late, but not after a later revision has
+/// dropped rows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// The shard of the data centre.
@@ -250,9 +253,9 @@
     pub rack: Name,
     /// The revision of the shard.
     pub revision: Revision,
-    /// Claims that are new or are to be stopped.
+    /// Claims that are new or whose run must be stopped.
     pub claimed: Vec<Home>,
-    /// Runs that are claimed here no more.
+    /// Runs that are no longer claimed here.
     pub released: Vec<Run>,
     /// Checksum of all runs claimed here, see [`claims_sum`].
     pub sum: u64,
@@ -270,12 +273,13 @@
     runs.map(hash).fold(0, u64::wrapping_add)
 }
 
-/// Hint says that a page changed, so that its readers need not poll.
+/// Hint reports that a page changed, so that its readers need not wait for
+/// their next poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Hint {
-    /// What a shard of homes claims on a rack changed.
+    /// The claims of a shard of homes on a rack changed.
     Claims(Claims),
-    /// Runs of a shard ended on a rack, by the rack's page.
+    /// Runs of a shard ended on a rack, according to the rack's page.
     Ended {
         /// The shard of the data centre.
         shard: u16,
@@ -284,7 +288,7 @@
         /// The runs and how they ended.
         ended: Vec<Ended>,
     },
-    /// The rack's page names this renewer.
+    /// The rack's page names a new renewer.
     TakenOver {
         /// The rack.
         rack: Name,
--- a/crates/stackpier-protocol/src/platform.rs
+++ b/crates/stackpier-protocol/src/platform.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The platform's two services as stackpier meets them: the store and the
-//! list of VMs, as HTTP with JSON.
+//! Messages of the platform's two services that stackpier uses, the store and
+//! the list of VMs: JSON over HTTP.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::{Name, Size};
@@ -19,7 +19,7 @@
 /// Swap asks to replace a value if it still has the expected revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Swap {
-    /// The expected revision, zero for a value that must not exist.
+    /// The expected revision; zero if the value must not exist.
     pub expect: Revision,
     /// The new value.
     #[serde(with = "crate::packed")]
@@ -31,11 +31,11 @@
 pub struct Swapped {
     /// Whether the value was replaced.
     pub won: bool,
-    /// The revision after the call.
+    /// The value's revision after the call.
     pub revision: Revision,
 }
 
-/// Role tells entry VMs from workers.
+/// Role distinguishes entry VMs from workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -45,42 +45,41 @@
     Worker,
 }
 
-/// Standing is what the platform says of a VM.
+/// Standing is the state of a VM according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// It is there.
+    /// The VM exists.
     Live,
-    /// It will be taken away soon.
+    /// The VM will be removed soon.
     Leaving,
-    /// It is gone and will not come back as this VM.
+    /// The VM is gone for good; a replacement is another VM.
     Gone,
 }
 
 /// Vm is one row of the list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Name of the VM.
+    /// Its name.
     pub name: Name,
-    /// Entry VM or worker.
+    /// Whether it is an entry VM or a worker.
     pub role: Role,
     /// Its data centre.
     pub data_centre: Name,
     /// Its rack; `None` for an entry VM.
     pub rack: Option<Name>,
-    /// Address as `IP:port`: the peers' port of an entry VM, the port of a
-    /// worker.
+    /// Its address as `IP:port`. For an entry VM the port is that for peers.
     pub address: String,
-    /// What a worker offers; zero for an entry VM.
+    /// The resources of a worker; zero for an entry VM.
     #[serde(default)]
     pub capacity: Size,
-    /// What the platform says of it.
+    /// Its state according to the platform.
     pub standing: Standing,
 }
 
-/// Roster is the platform's list of VMs, which lags.
+/// Roster is the platform's list of VMs, which may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// All VMs, gone ones for some time as well.
+    /// All VMs, including gone ones for some time.
     pub vms: Vec<Vm>,
 }
--- a/crates/stackpier-protocol/src/sync.rs
+++ b/crates/stackpier-protocol/src/sync.rs
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The one call a renewer makes to a worker: it renews the lease, starts and
-//! stops runs, and brings back ended runs and usage.
+//! The only call that a renewer makes to a worker: it renews the worker's lease,
+//! starts and stops runs, and returns ended runs and usage.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::{Name, key::Boot};
 use stackpier_state::work::{Checkpoint, Outcome, Run, Work};
 
-/// Clock is a reading of the worker's own monotonic clock, in milliseconds.
+/// Clock is a reading of the worker's monotonic clock, in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Clock(pub u64);
 
-/// Start asks for one run.
+/// Start orders a worker to start one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
     /// The run.
@@ -26,25 +26,26 @@
 /// Call is sent by the renewer of the worker's rack.
 ///
 /// The worker ignores a call that is meant for another of its boots, has a
-/// lower term than one before, or reaches it more than `lease_ms` after the
-/// clock reading it quotes. So no call has an effect later than that.
+/// lower term than an earlier call, or arrives more than `lease_ms` after the
+/// reading in `clock`. So no call has an effect after that time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// The boot the call is meant for. Zero only asks for a reply.
+    /// The boot that the call is meant for. A call with zero only requests a
+    /// reply.
     pub boot: Boot,
     /// The renewer's term.
     pub term: u64,
-    /// The last clock reading the renewer got from this boot.
+    /// The last clock reading that the renewer received from this boot.
     pub clock: Clock,
-    /// The lease lasts this long after `clock`.
+    /// How long after `clock` the lease expires, in milliseconds.
     pub lease_ms: u64,
-    /// Runs to start. One that runs already or ended is left as it is.
+    /// Runs to start. The worker skips those that are running or have ended.
     pub start: Vec<Start>,
-    /// Runs to checkpoint and stop, and never to start again.
+    /// Runs to checkpoint and stop. The worker never starts them again.
     pub stop: Vec<Run>,
-    /// All runs that are to run slower for now.
+    /// All runs that the worker should slow down for now.
     pub throttle: Vec<Run>,
-    /// Ended runs whose end is recorded; they need no further report.
+    /// Ended runs whose end is recorded. The worker need not report them again.
     pub forget: Vec<Run>,
 }
 
@@ -57,18 +58,18 @@
     pub outcome: Outcome,
 }
 
-/// Usage is a lagging sample of what a run used.
+/// Usage is a sample of what a run used, some time before it is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// The run.
     pub run: Run,
-    /// When the sample was taken.
+    /// When the sample was taken, by the worker's clock.
     pub sampled: Clock,
     /// Processor time, in thousandths of a core.
     pub milli_cores: u32,
     /// Memory, in MiB.
     pub memory_mib: u32,
-    /// Time per unit of work against running alone, in thousandths.
+    /// Time per unit of work relative to running alone, in thousandths.
     pub slowdown_milli: u32,
 }
 
@@ -77,14 +78,14 @@
 pub struct Reply {
     /// Name of the worker.
     pub name: Name,
-    /// This run of the worker.
+    /// The boot of the worker that answers.
     pub boot: Boot,
-    /// Its clock now.
+    /// The worker's clock at the time of the reply.
     pub clock: Clock,
-    /// The runs that run now.
+    /// The runs that are running.
     pub running: Vec<Run>,
-    /// Ended runs that no call told it to forget.
+    /// Ended runs that no call has listed in `forget` yet.
     pub ended: Vec<Ended>,
-    /// Lagging samples.
+    /// Samples of what runs used.
     pub usage: Vec<Usage>,
 }
