--- a/crates/stackpier-state/src/catalogue.rs
+++ b/crates/stackpier-state/src/catalogue.rs
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A daemon's copy of all intents. A shard never goes back to an older
-//! revision.
+//! A daemon's copy of all intents. The revision of a shard never decreases.
 
 use std::collections::BTreeMap;
 
@@ -12,24 +11,24 @@
     page::{ABSENT, Revision},
 };
 
-/// SHARDS is the count of intents pages.
+/// SHARDS is the number of intents pages.
 pub const SHARDS: u16 = 64;
 
-/// shard_of returns the shard that holds the intent of this name.
+/// shard_of returns the shard that contains the intent with this name.
 pub fn shard_of(name: Name) -> u16 {
     let hash = stackpier_core::key::weight(name.as_str().as_bytes(), 0);
     (hash % u64::from(SHARDS)) as u16
 }
 
-/// Digest lists the revision of each shard a daemon has.
+/// Digest lists the revision of each shard that a daemon has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Revisions by shard, lowest shard first.
+    /// Shards and their revisions, lowest shard first.
     pub revisions: Vec<(u16, Revision)>,
 }
 
 impl Digest {
-    /// sum returns a checksum; equal digests have equal ones.
+    /// sum returns a checksum. Equal digests have equal checksums.
     pub fn sum(&self) -> u64 {
         let mut bytes = Vec::with_capacity(self.revisions.len() * 10);
         for (shard, revision) in &self.revisions {
@@ -48,7 +47,7 @@
 }
 
 impl Catalogue {
-    /// offer takes a shard if it is newer than the known one, and returns
+    /// offer stores a shard's page if it is newer than the known one, and returns
     /// whether it did.
     pub fn offer(&mut self, shard: u16, revision: Revision, page: Shard) -> bool {
         if revision <= self.revision(shard) {
@@ -59,7 +58,7 @@
         true
     }
 
-    /// changes counts the pages taken so far.
+    /// changes returns how many pages have been stored so far.
     pub fn changes(&self) -> u64 {
         self.changes
     }
@@ -71,12 +70,12 @@
             .map_or(ABSENT, |(revision, _)| *revision)
     }
 
-    /// page returns the known value of a shard with its revision.
+    /// page returns the known page of a shard with its revision.
     pub fn page(&self, shard: u16) -> Option<&(Revision, Shard)> {
         self.shards.get(&shard)
     }
 
-    /// object returns the accepted intent of this name.
+    /// object returns the accepted intent with this name.
     pub fn object(&self, name: Name) -> Option<&Object> {
         self.shards.get(&shard_of(name))?.1.object(name)
     }
@@ -86,7 +85,7 @@
         self.shards.values().flat_map(|(_, shard)| &shard.objects)
     }
 
-    /// digest returns what this catalogue holds.
+    /// digest returns the revisions of all known shards.
     pub fn digest(&self) -> Digest {
         let revisions = self
             .shards
@@ -97,7 +96,7 @@
         }
     }
 
-    /// behind returns the shards of which `other` has a newer revision.
+    /// behind returns the shards for which `other` lists a newer revision.
     pub fn behind(&self, other: &Digest) -> Vec<u16> {
         let newer = |(shard, revision): &&(u16, Revision)| *revision > self.revision(*shard);
         other
--- a/crates/stackpier-state/src/explain.rs
+++ b/crates/stackpier-state/src/explain.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Why the tasks of a job are where they are, as the owner of the cell knows it.
+//! Explanations of where the tasks of a job run or why they wait, as far as the
+//! owner of the cell knows.
 
 use std::fmt;
 
@@ -7,41 +8,42 @@
 
 use crate::job::State;
 
-/// Job is a job with those of its tasks that are not done.
+/// Job explains a job by its tasks that are not done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its state.
+    /// The job's state.
     pub state: State,
     /// How many of its tasks are not done.
     pub open: u32,
-    /// Tasks that are not done, up to a bound.
+    /// Tasks that are not done, up to a limit.
     pub tasks: Vec<Task>,
-    /// How many more there are that the bound left out.
+    /// How many more tasks are not done, beyond the limit.
     pub left_out: u32,
 }
 
-/// Task is one task that is not done.
+/// Task explains one task that is not done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Task {
     /// Its name as in log lines: job, round, step and index.
     pub name: String,
-    /// Where it stands.
+    /// The state of the task.
     pub standing: Standing,
 }
 
-/// Standing tells where a task stands.
+/// Standing is the state of a task that is not done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// It has runs: several if it is copied or moved.
+    /// It has runs: more than one while it is copied or moved.
     Runs(Vec<Run>),
-    /// It comes after this many earlier steps that are not done.
+    /// It waits for this number of earlier steps that are not done.
     Blocked(u32),
     /// Its round is not due yet.
     Undue,
-    /// Its job has ended without it.
+    /// Its job has ended, so the task does not run any more.
     Ended,
-    /// It could run and stands in no list: a decision went wrong.
+    /// It is due and blocked by nothing, but is not listed as ready: a scheduler
+    /// bug.
     Stranded,
     /// It waits for a worker.
     Waits(Wait),
@@ -50,29 +52,29 @@
 /// Run is one start of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Its number, from one.
+    /// The number of the start, from one.
     pub number: u32,
-    /// The worker.
+    /// The id of the worker.
     pub worker: String,
-    /// What is known of it.
+    /// The state of the run as far as it is known.
     pub phase: Phase,
     /// Its progress in percent.
     pub percent: u8,
-    /// The pace it was told, in percent.
+    /// The pace that was ordered for it, in percent.
     pub pace: u8,
-    /// For how long the worker has not answered, in milliseconds.
+    /// How long the worker has been silent, in milliseconds; `None` if it answers.
     pub silent_ms: Option<u64>,
-    /// Whether the worker has answered this owner yet.
+    /// Whether the worker has answered this owner at least once.
     pub met: bool,
 }
 
-/// Phase tells what is known of a run.
+/// Phase is the state of a run as far as the owner knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
     /// The worker has not answered the start yet.
     Starting,
-    /// The start was not answered in time: the run may be there or not.
+    /// The start was not answered before its timeout: the run may or may not exist.
     Unsure,
     /// The worker has the run.
     Running,
@@ -80,84 +82,90 @@
     Stopping,
 }
 
-/// Wait is why a task does not start.
+/// Wait explains why a task does not start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Wait {
-    /// Whether its step stands in a queue, as it has to.
+    /// Whether its step is in a queue, as every step with waiting tasks must be.
     pub queued: bool,
     /// How many of its runs failed.
     pub failed_runs: u32,
-    /// How many workers may have crashed under it; of daemons that don't say, none.
+    /// How many crashes of workers the task is suspected of; zero in answers of
+    /// daemons that do not report it.
     #[serde(default)]
     pub crashes: u32,
-    /// What keeps it from starting.
+    /// What prevents its start.
     pub cause: Cause,
 }
 
-/// Cause is what keeps a step's tasks from starting.
+/// Cause is what prevents the start of a step's tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// The owner orders nothing: the store has not confirmed it lately.
+    /// The owner sends no orders, because the store has not confirmed its
+    /// ownership recently.
     Unconfirmed,
     /// An earlier owner may have started the task on a worker that has not
-    /// answered this one.
+    /// answered this owner yet.
     Predecessor,
-    /// The configuration does not have the job's queue of this name.
+    /// The configuration lacks the job's queue, which has this name.
     UnknownQueue(String),
-    /// What keeps it from each worker.
+    /// The workers, counted by what prevents a start on them.
     Workers(Tally),
 }
 
-/// Tally counts the workers by what keeps a task from them.
+/// Tally counts the workers by what prevents the start of a task on them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tally {
-    /// What the task asks for, in words.
+    /// What the task requests, as text.
     pub asks: String,
-    /// Workers that could take it.
+    /// The number of workers on which the task could start.
     pub free: u32,
-    /// The other workers.
+    /// The other workers, counted by obstacle.
     pub kept: Vec<Kept>,
-    /// The least of the expected harm that keeps it from workers.
+    /// The lowest expected harm among the workers with [`Obstacle::Harm`].
     pub least_harm: Option<f64>,
 }
 
-/// Kept is how many workers one obstacle keeps a task from.
+/// Kept is the number of workers on which one obstacle prevents the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
     /// The obstacle.
     pub obstacle: Obstacle,
-    /// The count of workers.
+    /// The number of workers.
     pub workers: u32,
 }
 
-/// Obstacle is the kind of what keeps a task from a worker.
+/// Obstacle is the kind of reason why a worker cannot take a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Obstacle {
-    /// It is of another service, lacks the step's label or ticket, or has as
-    /// many tasks of the step as it may.
+    /// The worker belongs to another service, lacks the step's label or ticket, or
+    /// has as many tasks of the step as allowed.
     Excluded,
-    /// It gets no starts now: it does not answer, leaves, or fails runs.
+    /// The worker gets no starts now: for example, it does not answer, is about to
+    /// leave, or fails runs.
     Unusable,
-    /// It runs tasks that serve, and nothing is to fill beside these.
+    /// The worker runs serving tasks, and best-effort tasks may not run beside them.
     Apart,
-    /// It lacks free processors, memory or accelerators.
+    /// The worker lacks free processors, memory or accelerators.
     Full,
-    /// It lacks the memory that is kept free of filling tasks.
+    /// The worker's free capacity is kept for short tasks: memory that best-effort
+    /// tasks must leave free, or a dedicated worker.
     Reserve,
-    /// Too few of its processors are expected to be unused.
+    /// Too few of the worker's processors are expected to be unused.
     Busy,
-    /// The effect of the last start in spite of these bounds was not seen yet.
+    /// A relaxed start on the worker, without the limits that protect others, was
+    /// so recent that its effect has not been reported yet.
     Unsettled,
-    /// The expected harm to its serving tasks is too high.
+    /// The expected harm to the worker's serving tasks is above the limit.
     Harm,
-    /// It is not in the rack of the data, and there is time to wait for one.
+    /// The worker is not in the rack of the step's data, and there is time to wait
+    /// for one that is.
     Far,
 }
 
 impl Tally {
-    /// keep counts a worker that an obstacle keeps the task from.
+    /// keep counts a worker on which an obstacle prevents the start.
     pub fn keep(&mut self, obstacle: Obstacle) {
         match self.kept.iter_mut().find(|kept| kept.obstacle == obstacle) {
             Some(kept) => kept.workers += 1,
--- a/crates/stackpier-state/src/holders.rs
+++ b/crates/stackpier-state/src/holders.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The holder map of a data centre: which daemon keeps the record of a
+//! The holder map of a data centre: which daemon keeps the record of each
 //! request that must not be repeated.
 
 use serde::{Deserialize, Serialize};
@@ -13,31 +13,31 @@
 pub struct Member {
     /// Name of its VM.
     pub vm: Name,
-    /// The run of the daemon; records do not outlive it.
+    /// The run of the daemon's process. Its records end with it.
     pub boot: Boot,
 }
 
 /// Version is one version of the map.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// Counts the versions, from one.
+    /// The number of the version, from one.
     pub number: u64,
-    /// The holders, in order.
+    /// The holders, sorted.
     pub members: Vec<Member>,
-    /// The members that acknowledged a later version or are listed gone.
+    /// The members that have acknowledged a later version or are listed as gone.
     pub stopped: Vec<Member>,
-    /// When the last member had stopped granting under this version, if all
-    /// have.
+    /// When the last member stopped granting keys under this version; `None` while
+    /// some may still do so.
     pub retired: Option<Unix>,
 }
 
-/// Map is the page of a data centre's holders: the newest version last, and
-/// the earlier ones that may still matter.
+/// Map is the page of a data centre's holders. It contains the newest version
+/// and the earlier ones that may still have records.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Map {
     /// The write that made this value.
     pub write: Write,
-    /// Versions in rising order.
+    /// The versions, newest last.
     pub versions: Vec<Version>,
 }
 
@@ -61,8 +61,8 @@
         self.newest().map_or(0, |version| version.number)
     }
 
-    /// renew adds a version with these members, if they differ from the
-    /// newest one's. It returns whether the map changed.
+    /// renew adds a version with these members if they differ from those of the
+    /// newest version. It returns whether the map changed.
     pub fn renew(&mut self, mut members: Vec<Member>) -> bool {
         members.sort();
         if self
@@ -81,8 +81,8 @@
         true
     }
 
-    /// acknowledge records that a member grants nothing any more under the
-    /// versions before `number`. It returns whether the map changed.
+    /// acknowledge records that a member no longer grants keys under the versions
+    /// before `number`. It returns whether the map changed.
     pub fn acknowledge(&mut self, member: Member, number: u64, now: Unix) -> bool {
         let mut changed = false;
         let earlier = self.versions.iter_mut().filter(|v| v.number < number);
@@ -96,8 +96,8 @@
         changed
     }
 
-    /// drop_old forgets versions that retired more than `window_ms` ago: keys
-    /// of that age are refused. It returns whether the map changed.
+    /// drop_old removes versions that retired more than `window_ms` ago, since
+    /// keys of that age are refused. It returns whether the map changed.
     pub fn drop_old(&mut self, now: Unix, window_ms: u64) -> bool {
         let before = self.versions.len();
         let keep = |v: &Version| v.retired.is_none_or(|at| now.since(at) <= window_ms);
@@ -105,8 +105,8 @@
         self.versions.len() != before
     }
 
-    /// relevant returns the earlier versions that may have granted a key made
-    /// at `minted`, oldest first.
+    /// relevant returns the earlier versions under which a key created at `minted`
+    /// may have been granted, oldest first. Clocks may differ by `allowance_ms`.
     pub fn relevant(&self, minted: Unix, allowance_ms: u64) -> impl Iterator<Item = &Version> {
         let newest = self.number();
         self.versions
@@ -120,6 +120,8 @@
     }
 }
 
+/// retire marks a version as retired once all of its members have stopped, and
+/// returns whether it did.
 fn retire(version: &mut Version, now: Unix) -> bool {
     let all = version.stopped.len() == version.members.len();
     if !all || version.retired.is_some() {
--- a/crates/stackpier-state/src/homes.rs
+++ b/crates/stackpier-state/src/homes.rs
@@ -1,8 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A shard of homes: where each task of a data centre is claimed to run.
+//! Homes: for each task of a data centre, the rack and worker that it is claimed
+//! for.
 //!
-//! A task has one home at a time. It leaves a rack only after the rack's page
-//! shows that its run ended, so that two racks never hold it at once.
+//! A task is claimed for one rack at a time. Its claim is released only after the
+//! rack's page shows that the run has ended, so that two racks never have a run
+//! of the task at the same time.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::{
@@ -12,30 +14,30 @@
 
 use crate::work::{Checkpoint, Class, Outcome, Run, Work};
 
-/// MAX_FAILURES is the count of failed runs after which a batch task is given
-/// up.
+/// MAX_FAILURES is the number of failed runs after which a batch task has failed
+/// for good.
 pub const MAX_FAILURES: u8 = 5;
 
-/// Claim is the choice of a place for one attempt.
+/// Claim is the worker that was chosen for one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The rack whose page commits the run.
     pub rack: Name,
-    /// The worker within it.
+    /// The worker in that rack.
     pub worker: Name,
-    /// Whether the run is to be stopped.
+    /// Whether the run must be stopped.
     pub stop: bool,
 }
 
-/// End says why a task will never run again.
+/// End is the reason why a task will never run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// It did its work.
+    /// It finished its work.
     Finished,
     /// It failed [`MAX_FAILURES`] times.
     Failed,
-    /// Its intent was cancelled or made smaller.
+    /// Its intent was cancelled, or changed to fewer tasks.
     Cancelled,
 }
 
@@ -43,11 +45,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Place {
-    /// Waits for a worker.
+    /// The task waits for a worker.
     Pending,
-    /// Claimed for a rack.
+    /// The task is claimed for a rack.
     Claimed(Claim),
-    /// Over.
+    /// The task will never run again.
     Ended(End),
 }
 
@@ -56,7 +58,7 @@
 pub struct Home {
     /// What to run.
     pub work: Work,
-    /// The attempt that waits, is claimed, or was the last.
+    /// The attempt that waits or is claimed, or the last one if the task has ended.
     pub attempt: Attempt,
     /// Progress to resume from.
     pub checkpoint: Option<Checkpoint>,
@@ -64,7 +66,7 @@
     pub failures: u8,
     /// Whether the intent no longer wants the task.
     pub unwanted: bool,
-    /// Where it is.
+    /// Whether the task waits, is claimed, or has ended.
     pub place: Place,
 }
 
@@ -73,7 +75,7 @@
 pub struct Shard {
     /// The write that made this value.
     pub write: Write,
-    /// The homes, in no order.
+    /// The homes, in no particular order.
     pub homes: Vec<Home>,
 }
 
@@ -106,7 +108,8 @@
         }
     }
 
-    /// release moves the home on after its claimed run ended.
+    /// release updates the home after its claimed run has ended: the task waits
+    /// for its next attempt, or has ended.
     pub fn release(&mut self, outcome: Outcome) {
         if let Outcome::Stopped(Some(checkpoint)) = outcome {
             self.checkpoint = Some(checkpoint);
@@ -114,13 +117,13 @@
         if outcome == Outcome::Failed {
             self.failures = self.failures.saturating_add(1);
         }
-        self.place = self.after(outcome);
+        self.place = self.place_after(outcome);
         if self.place == Place::Pending {
             self.attempt = self.attempt.next();
         }
     }
 
-    fn after(&self, outcome: Outcome) -> Place {
+    fn place_after(&self, outcome: Outcome) -> Place {
         let batch = self.work.class == Class::Batch;
         if batch && outcome == Outcome::Finished {
             return Place::Ended(End::Finished);
@@ -141,12 +144,12 @@
         self.homes.iter().find(|home| home.work.task == task)
     }
 
-    /// home_mut returns the home of a task for change.
+    /// home_mut returns the home of a task as mutable.
     pub fn home_mut(&mut self, task: Task) -> Option<&mut Home> {
         self.homes.iter_mut().find(|home| home.work.task == task)
     }
 
-    /// claimed tells whether this very run is claimed for `rack`.
+    /// claimed reports whether exactly this run is claimed for `rack`.
     pub fn claimed(&self, run: Run, rack: Name) -> bool {
         self.home(run.task).is_some_and(|home| {
             home.attempt == run.attempt && home.claim().is_some_and(|claim| claim.rack == rack)
--- a/crates/stackpier-state/src/job.rs
+++ b/crates/stackpier-state/src/job.rs
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Jobs: what a client account hands in, and what the store keeps of it.
+//! Jobs of cells: what a client account submits, and what the store keeps of it.
 //!
-//! A job is a list of steps. Each step holds tasks that are alike. A job may
-//! be repeated at fixed times; each repetition is called a round here.
+//! A job is a list of steps, and each step is a number of identical tasks. A job
+//! may repeat at a fixed interval; each repetition is called a round.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::{
@@ -10,52 +10,53 @@
     field::{Invalid, invalid, within},
 };
 
-/// MAX_TASKS is the most tasks a job may have over all its rounds. It bounds
-/// the memory that one request can claim.
+/// MAX_TASKS is the maximum number of tasks of a job over all its rounds. It
+/// limits the memory that one request can use.
 pub const MAX_TASKS: u64 = 200_000;
-/// MAX_STEPS is the most steps of a job.
+/// MAX_STEPS is the maximum number of steps of a job.
 pub const MAX_STEPS: usize = 1_000;
 /// WORD_BITS is the number of bits in a word of [`Progress::done`].
 const WORD_BITS: u32 = 64;
 
-/// Step describes tasks that are alike.
+/// Step describes a number of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     /// Number of tasks.
     pub count: u32,
-    /// What one task asks for.
+    /// Resources that one task requests.
     pub size: Size,
-    /// The client account's guess of one task's run time, in milliseconds.
+    /// The client account's estimate of one task's run time, in milliseconds.
     pub estimate_ms: u32,
-    /// Earlier steps, by number, whose tasks must all be done before.
+    /// Numbers of earlier steps whose tasks must all be done before these start.
     pub after: Vec<u16>,
     /// Whether progress can be saved and resumed.
     pub checkpointing: bool,
-    /// Whether the tasks work only all together.
+    /// Whether the tasks can only work while all of them run.
     pub gang: bool,
-    /// Whether the tasks should share one rack.
+    /// Whether the tasks should run in one rack.
     pub same_rack: bool,
     /// A label that the worker must have.
     pub label: Option<String>,
     /// The rack that holds the data.
     pub rack: Option<String>,
-    /// The most tasks of this step and round on one worker.
+    /// The maximum number of tasks of this step and round on one worker.
     pub most_per_worker: Option<u32>,
-    /// Whether several copies of a task may run at once.
+    /// Whether several copies of a task may run at the same time.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "lasting")]
     pub long_running: bool,
-    /// What the tasks run. Tasks of one image behave alike.
+    /// The image that the tasks run. Tasks with the same image behave alike.
     pub image: String,
-    /// The latency that the tail of a serving task should stay below, in
-    /// milliseconds; zero if the task serves nobody.
+    /// The tail latency that a serving task should stay below, in milliseconds;
+    /// zero if the task is not a serving task.
     pub target_ms: u32,
-    /// Whether the tasks use processors that others leave unused, and are not
-    /// counted in a worker's reserved processors.
+    /// Whether the tasks only use processors that other tasks leave unused, and so
+    /// do not count as allocated processors of their worker.
     #[serde(rename = "fills")]
     pub best_effort: bool,
-    /// How many tasks may be away at once by the scheduler's own orders.
+    /// How many tasks may be interrupted at the same time by orders of the
+    /// scheduler; no limit if `None`.
     pub may_miss: Option<u32>,
 }
 
@@ -70,20 +71,21 @@
     pub interval_ms: u64,
 }
 
-/// Spec is a checked job as it was handed in.
+/// Spec is a job as it was submitted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
-    /// Text handed to every task.
+    /// Text that every task receives.
     pub payload: String,
     /// The steps, in order.
     pub steps: Vec<Step>,
-    /// When the job repeats; `None` for a job that is due at once.
+    /// When the job runs and repeats; `None` for a job that runs once, immediately.
     pub schedule: Option<Schedule>,
 }
 
 impl Spec {
-    /// check tells whether the steps are well formed: every step waits for
-    /// earlier steps only, and the number of tasks is within [`MAX_TASKS`].
+    /// check returns an error unless the job is well-formed: every step waits for
+    /// earlier steps only, and the numbers of steps, rounds and tasks are within
+    /// their limits.
     pub fn check(&self) -> Result<(), Invalid> {
         within("steps", self.steps.len(), 1..=MAX_STEPS, "steps")?;
         for (number, step) in self.steps.iter().enumerate() {
@@ -100,7 +102,7 @@
         Ok(())
     }
 
-    /// rounds returns how often the steps run.
+    /// rounds returns the number of rounds.
     pub fn rounds(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.rounds)
     }
@@ -111,76 +113,78 @@
         u32::try_from(total).unwrap_or(u32::MAX)
     }
 
-    /// due_ms returns when a round is due, in milliseconds since 1970.
+    /// due_ms returns when a round is due, in milliseconds since 1970, or `None`
+    /// for a job without a schedule.
     pub fn due_ms(&self, round: u32) -> Option<u64> {
-        let after = |schedule: Schedule| {
+        let due = |schedule: Schedule| {
             schedule
                 .first_ms
                 .saturating_add(schedule.interval_ms.saturating_mul(u64::from(round)))
         };
-        self.schedule.map(after)
+        self.schedule.map(due)
     }
 }
 
-/// Queue is what the configuration says of one queue.
+/// Queue is the configuration of one queue.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
     /// The queue's name.
     pub name: String,
     /// The service whose workers run its tasks.
     pub service: String,
-    /// Zero goes first.
+    /// The priority of its jobs; zero is the highest.
     pub priority: u8,
-    /// Failed runs of a task after which its job has failed.
+    /// Number of failed runs of one task after which its job has failed.
     pub attempts: u16,
-    /// The factor on a job's longest chain of work in its latency objective.
+    /// The latency objective of a job is the run time of its longest chain of
+    /// steps, multiplied by this factor, plus `target_ms`.
     pub stretch: f64,
-    /// What is added to the objective, in milliseconds.
+    /// The constant part of the latency objective, in milliseconds.
     pub target_ms: u64,
-    /// Whether the queue's service guards its capacity by itself.
+    /// Whether the queue's service protects its capacity itself.
     pub guarded: bool,
-    /// Whether an adviser knows which workers may run its steps.
+    /// Whether an adviser decides which workers may run its steps.
     pub advised: bool,
 }
 
-/// Record is what the store keeps of an accepted job. It changes once at most, when the job
-/// is over and its record is trimmed.
+/// Record is what the store keeps of an accepted job. It changes at most once: it is trimmed
+/// after the job has ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The queue that the job was handed in to, as it was configured then: later
-    /// configurations may lack it, and the job still runs.
+    /// The queue that the job was submitted to, as configured at that time. The job
+    /// still runs if a later configuration lacks the queue.
     pub queue: Queue,
     /// The job.
     pub spec: Spec,
-    /// The fence of the cell's owner at the moment of acceptance.
+    /// The fence of the cell's owner that accepted the job.
     pub fence: u64,
     /// When the job was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
 }
 
 impl Record {
-    /// trimmed returns what is left of the record of a job that is over: that there was
-    /// one. Its state is kept apart.
+    /// trimmed returns the empty record that replaces that of an ended job. It only shows that
+    /// the job existed; the job's state is stored separately.
     pub fn trimmed() -> Record {
         Record::default()
     }
 
-    /// is_trimmed tells whether only that is left.
+    /// is_trimmed reports whether the record has been trimmed.
     pub fn is_trimmed(&self) -> bool {
         self.spec.steps.is_empty()
     }
 }
 
-/// State is the state of a job as a client account sees it.
+/// State is the state of a job as shown to client accounts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// No task has begun.
+    /// No task has started.
     #[default]
     Pending,
-    /// At least one task has begun.
+    /// At least one task has started.
     Running,
-    /// Every task has ended well.
+    /// Every task has succeeded.
     Completed,
     /// A task has failed as often as its queue allows.
     Failed,
@@ -189,49 +193,51 @@
 }
 
 impl State {
-    /// is_final tells whether nothing of the job will run any more.
+    /// is_final reports whether the job has ended: none of its tasks will start again.
     pub fn is_final(self) -> bool {
         matches!(self, State::Completed | State::Failed | State::Cancelled)
     }
 }
 
-/// Failures are the failed runs of one task.
+/// Failures lists the failed runs of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failures {
-    /// The task's place among all tasks of the job.
+    /// The index of the task among all tasks of the job.
     pub task: u32,
-    /// The numbers of the runs that ended by the task's or the worker's fault.
-    /// An end that is listed again after a change of owner is recognised by
-    /// them, in whatever order workers report.
+    /// The numbers of the runs that failed because of the task or its worker. They
+    /// identify ends that are reported again, in any order, after a change of
+    /// owner.
     pub runs: Vec<u32>,
 }
 
 /// Suspect is a task that may crash the workers that start it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The task's place among all tasks of the job.
+    /// The index of the task among all tasks of the job.
     pub task: u32,
-    /// The workers' lives that fell silent soon after they started it, or may yet: of the last
-    /// start it is not known then what came of it.
+    /// The incarnations of workers that fell silent soon after they started the task. When the
+    /// record is saved, the last start may still be without a known outcome; its worker is
+    /// then included, as it may yet crash.
     pub lives: Vec<Incarnation>,
     /// The longest time from a start until the worker was found silent, in milliseconds.
     pub span_ms: u64,
-    /// Whether nothing else can have brought the last of them down.
+    /// Whether nothing else can have caused the last of these crashes.
     pub alone: bool,
-    /// Whether one of them did not confirm the start.
+    /// Whether at least one of the workers did not confirm the start.
     pub unclear: bool,
 }
 
 /// Checkpoint is the saved progress of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// The task's place among all tasks of the job.
+    /// The index of the task among all tasks of the job.
     pub task: u32,
-    /// The text that a start hands back to resume.
+    /// The text that the worker gave for the checkpoint. The start that resumes from it sends
+    /// it back.
     pub text: String,
 }
 
-/// Progress is what the store keeps of how far a job is.
+/// Progress is what the store keeps of a job's progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     /// The job's state.
@@ -258,7 +264,7 @@
         self.done[word] |= 1 << (task % WORD_BITS);
     }
 
-    /// is_done tells whether a task is done.
+    /// is_done reports whether a task is done.
     pub fn is_done(&self, task: u32) -> bool {
         let word = self.done.get((task / WORD_BITS) as usize);
         word.is_some_and(|word| word & (1 << (task % WORD_BITS)) != 0)
--- a/crates/stackpier-state/src/ledger.rs
+++ b/crates/stackpier-state/src/ledger.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A holder's records of requests that must not be repeated.
+//! The ledger: a holder's records of requests that must not be repeated.
 
 use std::collections::HashMap;
 
@@ -18,46 +18,47 @@
     pub value: String,
 }
 
-/// Reply is an upstream's whole answer, kept for repeats.
+/// Reply is an upstream's complete answer, kept to answer repeats of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// End-to-end headers in the order they came.
+    /// End-to-end headers in the order in which they were received.
     pub headers: Vec<Header>,
     /// The body, byte for byte.
     pub body: Vec<u8>,
 }
 
-/// Grantee is one try of a daemon to run a key. Another try has another number,
-/// so that a late word on one is never taken for the other.
+/// Grantee is one attempt of a daemon to run a keyed request. Each attempt has
+/// its own number, so that a late message about one is never applied to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grantee {
     /// The daemon.
     pub boot: Boot,
-    /// Its count of tries.
+    /// The number of the attempt within that run of the daemon.
     pub number: u64,
 }
 
-/// Record is what is known of one key.
+/// Record is what a holder knows about the request with one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A daemon may run it or is running it.
+    /// A daemon is allowed to run it and may be running it.
     Granted(Grantee),
-    /// It ran, and this is the answer.
+    /// It ran and got this answer.
     Done(Reply),
     /// It provably did not run, and may be granted again.
     NotRun,
     /// It may have run.
     Unknown,
-    /// A later version of the holder map names another holder, which was
-    /// asked: this one grants it no more.
+    /// A later version of the holder map names another holder for the key, and
+    /// that holder was asked to grant it. This holder no longer grants the key.
     Moved,
-    /// It is refused in the whole data centre for good.
+    /// It is refused for good in the whole data centre.
     Sealed,
 }
 
-/// Closing is what a key is closed as, where it is free.
+/// Closing is the record that a free key is closed with. A key is free if it has
+/// no record or is [`Record::NotRun`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Closing {
     /// [`Record::Moved`].
@@ -78,17 +79,17 @@
     entries: HashMap<Request, Entry>,
 }
 
-/// Granting is the answer to a request to run a key.
+/// Granting is the answer to a request for a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Granting {
-    /// The key was free and is granted now.
+    /// The key was free and is now granted.
     Granted,
-    /// The key has this record already.
+    /// The key already has this record.
     Already(Record),
 }
 
 impl Ledger {
-    /// grant records a key for the try `to`, if it is free.
+    /// grant grants a key to the attempt `to` if it is free.
     pub fn grant(&mut self, key: Request, to: Grantee) -> Granting {
         match self.entries.get(&key).map(|entry| &entry.record) {
             None | Some(Record::NotRun) => {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// close closes a key if it is free, and returns what is known of it then.
+    /// close closes a key if it is free, and returns the key's record after that.
     pub fn close(&mut self, key: Request, closing: Closing) -> Record {
         match self.entries.get(&key).map(|entry| &entry.record) {
             None | Some(Record::NotRun) => {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// finish records the outcome of a key that was granted to `by`.
+    /// finish records the outcome of a key if it is granted to `by`.
     pub fn finish(&mut self, key: Request, by: Grantee, record: Record) {
         let granted = Record::Granted(by);
         if self
@@ -126,17 +127,17 @@
         }
     }
 
-    /// drop_old forgets keys made before `oldest`.
+    /// drop_old removes the records of keys created before `oldest`.
     pub fn drop_old(&mut self, oldest: Unix) {
         self.entries.retain(|_, entry| entry.minted >= oldest);
     }
 
-    /// len returns the count of records.
+    /// len returns the number of records.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// is_empty tells whether there is no record.
+    /// is_empty reports whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/stackpier-state/src/lib.rs
+++ b/crates/stackpier-state/src/lib.rs
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The state of stackpier as pure data: the pages kept in the store, the
-//! catalogue of intents and the ledger of requests.
+//! The state of stackpier as plain data: the pages in the store, the catalogue
+//! of intents, the ledger of requests, and the jobs of cells.
 //!
-//! Nothing here does I/O or reads a clock. Every change is a method that
-//! either keeps the invariants of its page or refuses.
+//! Nothing here does I/O or reads a clock. Every change of a page is a method
+//! that either preserves the page's invariants or refuses the change.
 
 pub mod catalogue;
 pub mod explain;
--- a/crates/stackpier-state/src/page.rs
+++ b/crates/stackpier-state/src/page.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Keys, revisions and values of the pages kept in the store.
+//! Keys, revisions and values of the pages in the store.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 
 use crate::{holders, homes, intent, rack};
 
-/// Revision counts the changes of one value in the store. Zero means that
+/// Revision is the number of changes of one value in the store. Zero means that
 /// the value does not exist.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
@@ -18,7 +18,7 @@
 /// ABSENT is the revision of a value that does not exist.
 pub const ABSENT: Revision = Revision(0);
 
-/// Key names one page.
+/// Key identifies one page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
     /// The intents of one shard.
@@ -29,7 +29,7 @@
     Rack(Name),
     /// The ledger holders of a data centre.
     Holders(Name),
-    /// The value that changes with each change of any intents page.
+    /// A value that changes whenever an intents page changes.
     Index,
 }
 
@@ -50,12 +50,12 @@
 pub struct Index {
     /// The write that made this value.
     pub write: Write,
-    /// Count of changes of each shard, by shard.
+    /// Number of changes of each intents page, by shard.
     pub changes: Vec<u64>,
 }
 
 impl Index {
-    /// bump counts a change of a shard.
+    /// bump increments the number of changes of a shard.
     pub fn bump(&mut self, shard: u16) {
         let place = usize::from(shard);
         if self.changes.len() <= place {
@@ -64,7 +64,8 @@
         self.changes[place] += 1;
     }
 
-    /// changed returns the shards whose count differs from an earlier index.
+    /// changed returns the shards whose number of changes differs from that in an
+    /// earlier index.
     pub fn changed(&self, earlier: &Index) -> Vec<u16> {
         let differs = |place: &usize| self.changes.get(*place) != earlier.changes.get(*place);
         (0..self.changes.len())
@@ -74,7 +75,7 @@
     }
 }
 
-/// Page is the value of any key.
+/// Page is the value of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Page {
@@ -114,26 +115,27 @@
     }
 }
 
-/// Fetched is the outcome of reading a page from the store.
+/// Fetched is the result of reading a page from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fetched {
     /// The value and its revision.
     Found(Revision, Page),
-    /// There is no value.
+    /// The value does not exist.
     Absent,
     /// The store gave no answer.
     Failed,
 }
 
-/// Swapped is the outcome of a compare-and-swap.
+/// Swapped is the result of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Swapped {
-    /// The value was replaced and has this revision.
+    /// The value was replaced and now has this revision.
     Won(Revision),
-    /// The value had another revision.
+    /// The value had another revision and was not replaced.
     Lost,
     /// The store refused the call before it took effect.
     Refused,
-    /// No answer came: the value may or may not be replaced, now or later.
+    /// The store gave no answer: the value may have been replaced, or may still be
+    /// replaced later.
     Unclear,
 }
--- a/crates/stackpier-state/src/rack.rs
+++ b/crates/stackpier-state/src/rack.rs
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A rack's page: its workers, and each run committed to them.
+//! A rack's page: its workers and the runs that are committed to them.
 //!
-//! The page is the unit of commitment. A change is written by
-//! compare-and-swap, so the sums checked here hold for what is stored.
+//! The page is written as a whole by compare-and-swap. So what is checked here,
+//! such as that a worker's runs fit its capacity, holds for what is stored.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::{
@@ -20,21 +20,22 @@
 pub struct Renewer {
     /// Name of the daemon's VM.
     pub vm: Name,
-    /// The run of the daemon.
+    /// The run of the daemon's process.
     pub boot: Boot,
-    /// Counts the renewers of the rack.
+    /// The number of this renewer; each renewer of the rack has a higher one than
+    /// its predecessor.
     pub term: u64,
 }
 
-/// Condition is what is known of a worker.
+/// Condition is the state of a worker as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
-    /// Takes new tasks.
+    /// The worker accepts new tasks.
     Up,
-    /// Keeps its tasks for a few seconds and takes no new ones.
+    /// The worker keeps its tasks for a few seconds and accepts no new ones.
     Leaving,
-    /// Listed gone by the platform. Nothing runs on it.
+    /// The platform lists the worker as gone. Nothing runs on it.
     Gone,
 }
 
@@ -43,12 +44,12 @@
 pub struct Worker {
     /// Name of the worker.
     pub name: Name,
-    /// The run of the worker that the rows below are committed to. Zero until
-    /// the worker was first reached.
+    /// The boot of the worker that its rows are committed to. Zero until the worker
+    /// is reached for the first time.
     pub boot: Boot,
-    /// What it offers.
+    /// Its total capacity.
     pub capacity: Size,
-    /// What is known of it.
+    /// Its state.
     pub condition: Condition,
 }
 
@@ -56,11 +57,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// To be started, or started.
+    /// The run must be started or has been started.
     Running,
-    /// To be checkpointed and stopped.
+    /// The run must be checkpointed and stopped.
     Stopping,
-    /// Proven not to run any more. Takes no room.
+    /// The run has provably ended. It uses no capacity.
     Ended(Outcome),
 }
 
@@ -79,14 +80,14 @@
     pub phase: Phase,
 }
 
-/// Refusal says why a run was not committed.
+/// Refusal is the reason why a run was not committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The rack has no such worker, or it takes no tasks.
+    /// The rack has no such worker, or the worker accepts no tasks.
     NoWorker,
-    /// The worker has not enough left.
-    NoRoom,
-    /// The task has a run here that has not ended.
+    /// The worker has too little free capacity.
+    InsufficientCapacity,
+    /// The task has a run in this rack that has not ended.
     AlreadyHere,
 }
 
@@ -95,29 +96,29 @@
 pub struct Rack {
     /// The write that made this value.
     pub write: Write,
-    /// The daemon that renews.
+    /// The daemon that renews the workers' leases.
     pub renewer: Option<Renewer>,
-    /// Earlier renewers not yet proven to have stopped renewing.
+    /// Earlier renewers that may still renew leases.
     pub former: Vec<Renewer>,
     /// The rack's workers.
     pub workers: Vec<Worker>,
     /// The runs committed to them.
     pub rows: Vec<Row>,
-    /// By shard of homes: the revision by which rows were last dropped. What
-    /// an earlier revision says of claims is out of date.
+    /// For each shard of homes, the revision for which rows were last dropped.
+    /// Claims as of an earlier revision are out of date.
     pub settled: Vec<Revision>,
 }
 
 impl Worker {
-    /// takes_tasks tells whether new runs may be committed to the worker. One
-    /// that was never reached has no boot that a run could be bound to.
+    /// takes_tasks reports whether new runs may be committed to the worker. A
+    /// worker that was never reached has no known boot to commit a run to.
     pub fn takes_tasks(&self) -> bool {
         self.condition == Condition::Up && self.boot != Boot::default()
     }
 }
 
 impl Rack {
-    /// empty returns the page of a rack that nobody has written yet.
+    /// empty returns the page of a rack that has not been written yet.
     pub fn empty() -> Rack {
         Rack {
             write: Write::default(),
@@ -129,12 +130,12 @@
         }
     }
 
-    /// worker returns the worker of this name.
+    /// worker returns the worker with this name.
     pub fn worker(&self, name: Name) -> Option<&Worker> {
         self.workers.iter().find(|worker| worker.name == name)
     }
 
-    /// worker_mut returns the worker of this name for change.
+    /// worker_mut returns the worker with this name as mutable.
     pub fn worker_mut(&mut self, name: Name) -> Option<&mut Worker> {
         self.workers.iter_mut().find(|worker| worker.name == name)
     }
@@ -144,7 +145,8 @@
         self.rows.iter().find(|row| row.run == run)
     }
 
-    /// committed returns the sum of the runs on a worker that have not ended.
+    /// committed returns the total size of the runs on a worker that have not
+    /// ended.
     pub fn committed(&self, worker: Name) -> Size {
         self.live(worker).map(|row| row.work.size).sum()
     }
@@ -156,7 +158,8 @@
             .filter(move |row| row.worker == worker && !matches!(row.phase, Phase::Ended(_)))
     }
 
-    /// free returns what is left on a worker that takes tasks.
+    /// free returns the free capacity of a worker, or `None` if it accepts no
+    /// tasks.
     pub fn free(&self, worker: Name) -> Option<Size> {
         let found = self.worker(worker)?;
         found
@@ -164,7 +167,8 @@
             .then(|| found.capacity.minus(&self.committed(worker)))
     }
 
-    /// commit adds a run in phase [`Phase::Running`].
+    /// commit adds a row for a run, which should be in phase [`Phase::Running`],
+    /// or returns why the run can't be committed.
     pub fn commit(&mut self, row: Row) -> Result<(), Refusal> {
         let here =
             |other: &Row| other.run.task == row.run.task && !matches!(other.phase, Phase::Ended(_));
@@ -177,13 +181,13 @@
         }
         let sum = self.committed(row.worker) + row.work.size;
         if !sum.fits(&found.capacity) {
-            return Err(Refusal::NoRoom);
+            return Err(Refusal::InsufficientCapacity);
         }
         self.rows.push(row);
         Ok(())
     }
 
-    /// stop marks a running run as to be stopped. It returns whether the page
+    /// stop sets a running run to [`Phase::Stopping`]. It returns whether the page
     /// changed.
     pub fn stop(&mut self, run: Run) -> bool {
         let running = |row: &&mut Row| row.run == run && row.phase == Phase::Running;
@@ -191,7 +195,7 @@
         found.map(|row| row.phase = Phase::Stopping).is_some()
     }
 
-    /// end records how a run ended. The first record stays. It returns
+    /// end records how a run ended, unless that is recorded already. It returns
     /// whether the page changed.
     pub fn end(&mut self, run: Run, outcome: Outcome) -> bool {
         let open = |row: &&mut Row| row.run == run && !matches!(row.phase, Phase::Ended(_));
@@ -199,8 +203,8 @@
         found.map(|row| row.phase = Phase::Ended(outcome)).is_some()
     }
 
-    /// end_all records every open run on a worker as lost. It returns whether
-    /// the page changed.
+    /// end_all records every run on a worker that has not ended as lost. It
+    /// returns whether the page changed.
     pub fn end_all(&mut self, worker: Name) -> bool {
         let mut changed = false;
         for row in &mut self.rows {
@@ -212,7 +216,7 @@
         changed
     }
 
-    /// settled_by returns the revision of a shard of homes by which rows were
+    /// settled_by returns the revision of a shard of homes for which rows were
     /// last dropped.
     pub fn settled_by(&self, shard: u16) -> Revision {
         self.settled
@@ -221,8 +225,8 @@
             .unwrap_or_default()
     }
 
-    /// drop_rows drops ended rows of a shard that its homes at `revision` do
-    /// not claim any more. The rows to drop are those `dropped` names.
+    /// drop_rows removes the ended rows that `dropped` selects. These belong to
+    /// `shard` and are no longer claimed by its homes at `revision`.
     pub fn drop_rows<F: Fn(&Row) -> bool>(&mut self, shard: u16, revision: Revision, dropped: F) {
         let before = self.rows.len();
         let ended = |row: &Row| matches!(row.phase, Phase::Ended(_));
@@ -237,8 +241,8 @@
         self.settled[place] = self.settled[place].max(revision);
     }
 
-    /// take_over makes a daemon the renewer. The renewer before it stays
-    /// listed as former until it is proven to have stopped.
+    /// take_over makes a daemon the renewer. Its predecessor stays listed as former
+    /// until it has provably stopped renewing.
     pub fn take_over(&mut self, vm: Name, boot: Boot) {
         let term = self.renewer.map_or(0, |renewer| renewer.term) + 1;
         self.former.extend(self.renewer);
--- a/crates/stackpier-state/src/work.rs
+++ b/crates/stackpier-state/src/work.rs
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What a task is and how a run of it can end.
+//! Tasks, their runs, and how a run can end.
 
 use serde::{Deserialize, Serialize};
 use stackpier_core::{Name, Size, key};
 
-/// Class tells services from batch work.
+/// Class distinguishes services from batch work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Answers callers; runs until it is cancelled.
+    /// Answers callers and runs until it is cancelled.
     Service,
     /// Ends by itself.
     Batch,
@@ -25,15 +25,15 @@
     pub generation: u32,
     /// Service or batch.
     pub class: Class,
-    /// Whether it is committed ahead of the usual interval.
+    /// Whether it is committed without waiting for the usual interval.
     pub urgent: bool,
-    /// What the task is committed on a worker.
+    /// The capacity that the task is committed on a worker.
     pub size: Size,
-    /// Declared run time of a batch task in milliseconds, zero for a service.
+    /// Declared run time of a batch task in milliseconds; zero for a service.
     pub run_time_ms: u64,
 }
 
-/// Checkpoint names the saved progress of a task, as the worker reported it.
+/// Checkpoint identifies the saved progress of a task, as the worker reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Checkpoint(pub u64);
 
@@ -42,22 +42,23 @@
 pub struct Run {
     /// The task.
     pub task: key::Task,
-    /// The attempt, which no other run of the task shares.
+    /// The number of the start, which no other run of the task has.
     pub attempt: key::Attempt,
 }
 
-/// Outcome tells how a run ended.
+/// Outcome is how a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The task did all its work.
+    /// The task finished its work.
     Finished,
     /// The task failed by itself.
     Failed,
-    /// The task was stopped on request, with its progress if it saved any.
+    /// The task was stopped by an order, with a checkpoint if it saved its
+    /// progress.
     Stopped(Option<Checkpoint>),
-    /// The worker or its lease ended, and the run with it.
+    /// The run ended because its worker ended or the worker's lease expired.
     Lost,
-    /// The run was never started: the worker had no room.
+    /// The run was never started: for example, the worker lacked free capacity.
     Refused,
 }
