--- a/crates/stackpier-core/src/error.rs
+++ b/crates/stackpier-core/src/error.rs
@@ -27,7 +27,7 @@
     NotFound,
     /// A request that must not be repeated has no valid key.
     BadKey,
-    /// The key is older than the time for which the ledger keeps records.
+    /// The key is older than the window in which the ledger accepts keys.
     KeyExpired,
     /// The key's time is ahead of the daemon's clock by more than is allowed.
     KeyFromFuture,
--- a/crates/stackpier-protocol/src/sync.rs
+++ b/crates/stackpier-protocol/src/sync.rs
@@ -43,7 +43,8 @@
     pub start: Vec<Start>,
     /// Runs to checkpoint and stop. The worker never starts them again.
     pub stop: Vec<Run>,
-    /// All runs that the worker should slow down for now.
+    /// All runs that the worker should slow down for now; other runs are not
+    /// slowed down.
     pub throttle: Vec<Run>,
     /// Ended runs whose end is recorded. The worker need not report them again.
     pub forget: Vec<Run>,
--- a/crates/stackpier-state/src/job.rs
+++ b/crates/stackpier-state/src/job.rs
@@ -186,7 +186,8 @@
     Running,
     /// Every task has succeeded.
     Completed,
-    /// A task has failed as often as its queue allows.
+    /// A task has reached its queue's limit of failed runs, or the limit of crashes
+    /// that it is suspected of.
     Failed,
     /// The client account cancelled the job.
     Cancelled,
--- a/crates/stackpier-state/src/rack.rs
+++ b/crates/stackpier-state/src/rack.rs
@@ -98,7 +98,7 @@
     pub write: Write,
     /// The daemon that renews the workers' leases.
     pub renewer: Option<Renewer>,
-    /// Earlier renewers that may still renew leases.
+    /// Earlier renewers that have not provably stopped renewing yet.
     pub former: Vec<Renewer>,
     /// The rack's workers.
     pub workers: Vec<Worker>,
