--- a/crates/stackpierd/src/acceptance.rs
+++ b/crates/stackpierd/src/acceptance.rs
@@ -35,13 +35,13 @@
                             revision,
                             page,
                         };
-                        self.take_shard(page, "operator");
+                        self.apply_shard(page, "operator");
                         self.bump_index(shard);
                     }
-                    let word = answer
+                    let result = answer
                         .as_ref()
                         .map_or_else(|e| e.kind.as_str(), |_| "accepted");
-                    info!(self.log, "config: change settled"; "name" => %name, "result" => word);
+                    info!(self.log, "config: change settled"; "name" => %name, "result" => result);
                     return answer;
                 }
             };
--- a/crates/stackpierd/src/daemon.rs
+++ b/crates/stackpierd/src/daemon.rs
@@ -48,7 +48,7 @@
     /// The newest report of each rack of the data centre.
     pub racks: Mutex<BTreeMap<Name, RackReport>>,
     /// The reports and promises of this daemon's own racks.
-    pub own: Mutex<Own>,
+    pub announcement: Mutex<Announcement>,
     /// The choice of upstreams.
     pub routing: Routing,
     /// The records of keys that fall to this daemon.
@@ -58,13 +58,13 @@
     /// The way to the scheduler.
     pub scheduler: Sender<Input>,
     /// Whether another daemon knows a newer holder map.
-    pub holders_due: AtomicBool,
+    pub holder_map_outdated: AtomicBool,
     stopping: AtomicBool,
 }
 
-/// Own is what this daemon says of racks.
+/// Announcement is what this daemon says of racks.
 #[derive(Clone, Debug, Default)]
-pub struct Own {
+pub struct Announcement {
     /// Reports of the racks it renews.
     pub reports: Vec<RackReport>,
     /// Promises not to renew.
@@ -111,19 +111,19 @@
             table: Mutex::new(table),
             catalogue: Mutex::default(),
             racks: Mutex::default(),
-            own: Mutex::default(),
+            announcement: Mutex::default(),
             routing: Routing::new(settings.route, parts.boot),
             holder: Mutex::new(Holder::new(parts.boot)),
             writer: Mutex::new(Writer::new(parts.boot)),
             scheduler: parts.scheduler,
-            holders_due: AtomicBool::new(false),
+            holder_map_outdated: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             settings,
         })
     }
 
     /// stopping tells whether a planned stop has begun.
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
@@ -139,16 +139,16 @@
         table.vm(vm).and_then(|vm| vm.address.parse().ok())
     }
 
-    /// ask sends a message to a daemon and waits for the answer.
-    pub fn ask(&self, vm: Name, request: &Request) -> Option<Response> {
+    /// call_daemon sends a message to a daemon and waits for the answer.
+    pub fn call_daemon(&self, vm: Name, request: &Request) -> Option<Response> {
         let address = self.address(vm)?;
         self.peers.call(address, request, PEER_LIMIT).ok()
     }
 
-    /// tell_data_centre sends a message to all other daemons of the data centre and waits
+    /// broadcast sends a message to all other daemons of the data centre and waits
     /// for no answer.
-    pub fn tell_data_centre(&self, request: &Request) -> Result<()> {
-        for address in self.neighbours() {
+    pub fn broadcast(&self, request: &Request) -> Result<()> {
+        for address in self.local_peers() {
             self.peers.send(address, request, PEER_LIMIT)?;
         }
         Ok(())
@@ -166,8 +166,8 @@
         table.chosen(clock::now(), &item).map(|member| member.vm)
     }
 
-    /// neighbours returns the other daemons of the data centre.
-    pub fn neighbours(&self) -> Vec<SocketAddr> {
+    /// local_peers returns the other daemons of the data centre.
+    pub fn local_peers(&self) -> Vec<SocketAddr> {
         let table = lock(&self.table);
         let here = table.data_centre();
         let near = table.peers().filter(|vm| vm.data_centre == here);
@@ -179,20 +179,20 @@
         let mut endpoints: Vec<Endpoint> = Vec::new();
         {
             let table = lock(&self.table);
-            let takes = |endpoint: &&Endpoint| {
+            let accepts_requests = |endpoint: &&Endpoint| {
                 use stackpier_protocol::platform::Standing;
                 table.standing(endpoint.worker) == Some(Standing::Live)
             };
             for report in lock(&self.racks).values() {
-                endpoints.extend(report.endpoints.iter().filter(takes));
+                endpoints.extend(report.endpoints.iter().filter(accepts_requests));
             }
         }
         self.routing.update(&endpoints);
     }
 
-    /// take_report takes a rack's report unless a newer one is known. It
+    /// apply_report takes a rack's report unless a newer one is known. It
     /// returns whether it did.
-    pub fn take_report(&self, report: &RackReport) -> bool {
+    pub fn apply_report(&self, report: &RackReport) -> bool {
         let mut racks = lock(&self.racks);
         let order = |report: &RackReport| (report.term, report.change);
         let known = racks.get(&report.rack).map(order);
--- a/crates/stackpierd/src/heartbeat.rs
+++ b/crates/stackpierd/src/heartbeat.rs
@@ -30,109 +30,109 @@
 
 /// start sends heartbeats and reads the list on threads of their own.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>) -> std::io::Result<()> {
-    let beating = Arc::clone(daemon);
+    let sending = Arc::clone(daemon);
     thread::Builder::new()
         .name("heartbeat".to_owned())
         .spawn(move || {
-            let mut known = Known::default();
+            let mut receipts = Receipts::default();
             for round in 0.. {
-                beat(&beating, round, &mut known);
-                thread::sleep(Duration::from_millis(beating.settings.heartbeat_ms));
+                send_heartbeats(&sending, round, &mut receipts);
+                thread::sleep(Duration::from_millis(sending.settings.heartbeat_ms));
             }
         })?;
-    let listing = Arc::clone(daemon);
+    let reading = Arc::clone(daemon);
     thread::Builder::new()
         .name("list".to_owned())
         .spawn(move || {
-            let mut read = read_list(&listing);
+            let mut read = read_list(&reading);
             loop {
-                thread::sleep(until_next_turn(listing.settings.list_ms));
-                if !read || has_turn(&listing) {
-                    read = read_list(&listing);
+                thread::sleep(time_to_next_read(reading.settings.list_ms));
+                if !read || should_read_list(&reading) {
+                    read = read_list(&reading);
                 }
             }
         })?;
     Ok(())
 }
 
-/// until_next_turn returns the time to the next full `list_ms` of the wall
+/// time_to_next_read returns the time to the next full `list_ms` of the wall
 /// clock, so that the turns of several daemons follow each other.
-fn until_next_turn(list_ms: u64) -> Duration {
+fn time_to_next_read(list_ms: u64) -> Duration {
     Duration::from_millis(list_ms - clock::unix().0 % list_ms)
 }
 
-/// has_turn tells whether it is this daemon's turn to read the list. Together
+/// should_read_list tells whether it is this daemon's turn to read the list. Together
 /// the daemons of a data centre read it once in `list_ms`, and heartbeats pass
 /// on the word of leaving workers. A daemon that could not read it does not
 /// wait for its turn.
-fn has_turn<B: Backend>(daemon: &Daemon<B>) -> bool {
+fn should_read_list<B: Backend>(daemon: &Daemon<B>) -> bool {
     let live = lock(&daemon.table).live(clock::now(), daemon.settings.data_centre);
-    let turn = clock::unix().0 / daemon.settings.list_ms % live.len().max(1) as u64;
-    let place = live.iter().position(|member| *member == daemon.me);
-    place.is_none_or(|place| place as u64 == turn)
+    let reader = clock::unix().0 / daemon.settings.list_ms % live.len().max(1) as u64;
+    let index = live.iter().position(|member| *member == daemon.me);
+    index.is_none_or(|index| index as u64 == reader)
 }
 
 /// read_list reads the list and returns whether it was read.
 fn read_list<B: Backend>(daemon: &Daemon<B>) -> bool {
     match daemon.backend.list() {
         Ok(roster) => {
-            take_list(daemon, roster);
+            apply_list(daemon, roster);
             true
         }
         Err(error) => {
             debug!(daemon.log, "member: no list of VMs"; "why" => %error);
             if lock(&daemon.table).racks().is_empty() {
-                seed(daemon);
+                read_list_from_seeds(daemon);
             }
             false
         }
     }
 }
 
-/// seed starts a fresh daemon from others while the platform is away.
-fn seed<B: Backend>(daemon: &Daemon<B>) {
+/// read_list_from_seeds starts a fresh daemon from others while the platform is away.
+fn read_list_from_seeds<B: Backend>(daemon: &Daemon<B>) {
     for address in &daemon.settings.seeds {
         let answer = daemon.peers.call(*address, &Request::Roster, PEER_LIMIT);
         if let Ok(Response::Roster(roster)) = answer {
             info!(daemon.log, "member: list of VMs from a peer"; "peer" => %address);
-            take_list(daemon, roster);
+            apply_list(daemon, roster);
             return;
         }
     }
 }
 
-fn take_list<B: Backend>(daemon: &Daemon<B>, roster: Roster) {
+fn apply_list<B: Backend>(daemon: &Daemon<B>, roster: Roster) {
     lock(&daemon.table).list(roster);
     daemon.refresh_routes();
 }
 
-/// Known is what other daemons have acknowledged of this daemon's reports.
+/// Receipts is what other daemons have acknowledged of this daemon's reports.
 #[derive(Debug, Default)]
-struct Known {
-    by_address: HashMap<SocketAddr, Acknowledged>,
+struct Receipts {
+    by_address: HashMap<SocketAddr, Receipt>,
 }
 
-/// Acknowledged is what one run of another daemon has of this one's reports.
+/// Receipt is what one run of another daemon has of this one's reports.
 #[derive(Debug, Default)]
-struct Acknowledged {
+struct Receipt {
     boot: Boot,
-    racks: BTreeMap<Name, Mark>,
+    racks: BTreeMap<Name, Version>,
 }
 
-/// Mark names one state of a rack's report.
+/// Version names one state of a rack's report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Mark {
+struct Version {
     term: u64,
     change: u64,
 }
 
-impl Known {
-    /// news returns the reports that a daemon does not have yet.
-    fn news(&self, address: SocketAddr, reports: &[RackReport]) -> Vec<RackReport> {
-        let known = self.by_address.get(&address);
+impl Receipts {
+    /// unacknowledged returns the reports that a daemon does not have yet.
+    fn unacknowledged(&self, address: SocketAddr, reports: &[RackReport]) -> Vec<RackReport> {
+        let receipt = self.by_address.get(&address);
         let has = |report: &&RackReport| {
-            let mark = known.and_then(|known| known.racks.get(&report.rack));
-            mark == Some(&mark_of(report))
+            let version = receipt.and_then(|receipt| receipt.racks.get(&report.rack));
+            version == Some(&version_of(report))
         };
         reports
             .iter()
@@ -141,35 +141,37 @@
             .collect()
     }
 
-    /// acknowledged notes that a run of a daemon took these reports. An earlier
+    /// record notes that a run of a daemon took these reports. An earlier
     /// run's are forgotten, as the new one does not have them.
-    fn acknowledged(&mut self, address: SocketAddr, boot: Boot, reports: &[RackReport]) {
-        let known = self.by_address.entry(address).or_default();
-        if known.boot != boot {
-            *known = Acknowledged {
+    fn record(&mut self, address: SocketAddr, boot: Boot, reports: &[RackReport]) {
+        let receipt = self.by_address.entry(address).or_default();
+        if receipt.boot != boot {
+            *receipt = Receipt {
                 boot,
                 racks: BTreeMap::new(),
             };
         }
-        let marks = reports.iter().map(|report| (report.rack, mark_of(report)));
-        known.racks.extend(marks);
+        let versions = reports
+            .iter()
+            .map(|report| (report.rack, version_of(report)));
+        receipt.racks.extend(versions);
     }
 }
 
-fn mark_of(report: &RackReport) -> Mark {
-    Mark {
+fn version_of(report: &RackReport) -> Version {
+    Version {
         term: report.term,
         change: report.change,
     }
 }
 
-/// beat sends one round of heartbeats and takes the replies.
-fn beat<B: Backend>(daemon: &Daemon<B>, round: usize, known: &mut Known) {
-    let (near, far) = targets(daemon, round);
-    let full = heartbeat(daemon, true);
-    let brief = heartbeat(daemon, false);
-    let near = near.into_iter().map(|address| {
-        let racks = known.news(address, &full.racks);
+/// send_heartbeats sends one round of heartbeats and takes the replies.
+fn send_heartbeats<B: Backend>(daemon: &Daemon<B>, round: usize, receipts: &mut Receipts) {
+    let (local, remote) = targets(daemon, round);
+    let full = build_heartbeat(daemon, true);
+    let brief = build_heartbeat(daemon, false);
+    let local = local.into_iter().map(|address| {
+        let racks = receipts.unacknowledged(address, &full.racks);
         (
             address,
             Heartbeat {
@@ -178,9 +180,9 @@
             },
         )
     });
-    let far = far.into_iter().map(|address| (address, brief.clone()));
-    let sent: Vec<_> = near
-        .chain(far)
+    let remote = remote.into_iter().map(|address| (address, brief.clone()));
+    let sent: Vec<_> = local
+        .chain(remote)
         .filter_map(|(address, beat)| {
             let reports = beat.racks.clone();
             let message = Request::Heartbeat(beat);
@@ -190,8 +192,8 @@
         .collect();
     for (address, reports, answer) in sent {
         if let Ok(Ok(Response::Heartbeat(reply))) = answer.recv() {
-            known.acknowledged(address, reply.from.boot, &reports);
-            take_reply(daemon, address, &reply);
+            receipts.record(address, reply.from.boot, &reports);
+            handle_reply(daemon, address, &reply);
         }
     }
 }
@@ -200,50 +202,50 @@
 fn targets<B: Backend>(daemon: &Daemon<B>, round: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
     let table = lock(&daemon.table);
     let here = table.data_centre();
-    let mut near = Vec::new();
+    let mut local = Vec::new();
     let mut others: BTreeMap<Name, Vec<SocketAddr>> = BTreeMap::new();
     for vm in table.peers() {
         let Ok(address) = vm.address.parse() else {
             continue;
         };
         match vm.data_centre == here {
-            true => near.push(address),
+            true => local.push(address),
             false => others.entry(vm.data_centre).or_default().push(address),
         }
     }
-    let far = others.values().map(|all| all[round % all.len()]);
-    (near, far.collect())
+    let remote = others.values().map(|all| all[round % all.len()]);
+    (local, remote.collect())
 }
 
-fn heartbeat<B: Backend>(daemon: &Daemon<B>, full: bool) -> Heartbeat {
+fn build_heartbeat<B: Backend>(daemon: &Daemon<B>, full: bool) -> Heartbeat {
     let sum = lock(&daemon.catalogue).digest().sum();
     let holders = lock(&daemon.holder).map().number();
-    let own = match full {
-        true => lock(&daemon.own).clone(),
+    let announcement = match full {
+        true => lock(&daemon.announcement).clone(),
         false => Default::default(),
     };
     Heartbeat {
         from: daemon.me,
         data_centre: daemon.settings.data_centre,
-        leaving: daemon.stopping(),
+        leaving: daemon.is_stopping(),
         sum,
         holders,
         departing: lock(&daemon.table).departing(),
-        racks: own.reports,
-        renounced: own.renounced,
+        racks: announcement.reports,
+        renounced: announcement.renounced,
     }
 }
 
-fn take_reply<B: Backend>(daemon: &Daemon<B>, address: SocketAddr, reply: &HeartbeatReply) {
+fn handle_reply<B: Backend>(daemon: &Daemon<B>, address: SocketAddr, reply: &HeartbeatReply) {
     lock(&daemon.table).answered(clock::now(), reply);
     let sum = lock(&daemon.catalogue).digest().sum();
     if reply.sum != sum {
-        pull(daemon, address);
+        pull_intents(daemon, address);
     }
 }
 
-/// pull takes the intents pages of which a peer has a newer revision.
-fn pull<B: Backend>(daemon: &Daemon<B>, address: SocketAddr) {
+/// pull_intents takes the intents pages of which a peer has a newer revision.
+fn pull_intents<B: Backend>(daemon: &Daemon<B>, address: SocketAddr) {
     let Ok(Response::Digest(digest)) = daemon.peers.call(address, &Request::Digest, PEER_LIMIT)
     else {
         return;
@@ -258,35 +260,35 @@
     if let Ok(Response::Shards(pages)) = answer {
         pages
             .into_iter()
-            .for_each(|page| daemon.take_shard(page, "peer"));
+            .for_each(|page| daemon.apply_shard(page, "peer"));
     }
 }
 
 impl<B: Backend> Daemon<B> {
-    /// take_shard takes an intents page if it is newer than the known one.
-    pub fn take_shard(&self, page: ShardPage, from: &'static str) {
+    /// apply_shard takes an intents page if it is newer than the known one.
+    pub fn apply_shard(&self, page: ShardPage, from: &'static str) {
         let (shard, revision) = (page.shard, page.revision);
-        let taken = lock(&self.catalogue).offer(shard, revision, page.page);
-        if taken {
+        let applied = lock(&self.catalogue).offer(shard, revision, page.page);
+        if applied {
             info!(self.log, "config: page in force";
                 "shard" => shard, "revision" => revision.0, "from" => from);
         }
     }
 
-    /// take_heartbeat serves another daemon's heartbeat.
-    pub fn take_heartbeat(&self, beat: &Heartbeat) -> HeartbeatReply {
+    /// handle_heartbeat serves another daemon's heartbeat.
+    pub fn handle_heartbeat(&self, beat: &Heartbeat) -> HeartbeatReply {
         lock(&self.table).heard(clock::now(), beat);
         if beat.data_centre == self.settings.data_centre {
-            let taken = beat
+            let applied = beat
                 .racks
                 .iter()
-                .filter(|report| self.take_report(report))
+                .filter(|report| self.apply_report(report))
                 .count();
-            if taken > 0 || !beat.departing.is_empty() {
+            if applied > 0 || !beat.departing.is_empty() {
                 self.refresh_routes();
             }
             if beat.holders > lock(&self.holder).map().number() {
-                self.holders_due.store(true, Ordering::SeqCst);
+                self.holder_map_outdated.store(true, Ordering::SeqCst);
             }
             if !beat.renounced.is_empty() {
                 let promises = Input::Renounced(beat.from, beat.renounced.clone());
@@ -295,7 +297,7 @@
         }
         HeartbeatReply {
             from: self.me,
-            leaving: self.stopping(),
+            leaving: self.is_stopping(),
             sum: lock(&self.catalogue).digest().sum(),
         }
     }
--- a/crates/stackpierd/src/holders.rs
+++ b/crates/stackpierd/src/holders.rs
@@ -23,13 +23,13 @@
     daemon::{Daemon, lock},
 };
 
-/// PAUSE is the time between two looks.
-const PAUSE: Duration = Duration::from_millis(250);
-/// SWEEP_MS is the longest time between two reads of the page.
-const SWEEP_MS: u64 = 3_000;
-/// SETTLE_MS is how long the set of daemons must stay as it is before it
+/// ROUND_PAUSE is the time between two looks.
+const ROUND_PAUSE: Duration = Duration::from_millis(250);
+/// MAX_READ_GAP_MS is the longest time between two reads of the page.
+const MAX_READ_GAP_MS: u64 = 3_000;
+/// MIN_UNCHANGED_MS is how long the set of daemons must stay as it is before it
 /// becomes a version.
-const SETTLE_MS: u64 = 1_000;
+const MIN_UNCHANGED_MS: u64 = 1_000;
 
 /// start keeps the map on a thread of its own.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>) -> std::io::Result<()> {
@@ -37,53 +37,56 @@
     thread::Builder::new()
         .name("holders".to_owned())
         .spawn(move || {
-            let mut keeper = Keeper {
+            let mut maintainer = Maintainer {
                 daemon: &daemon,
-                read: None,
-                seen: Vec::new(),
-                since: Millis(0),
+                read_at: None,
+                live_members: Vec::new(),
+                unchanged_since: Millis(0),
             };
             loop {
-                keeper.round();
-                thread::sleep(PAUSE);
+                maintainer.run_round();
+                thread::sleep(ROUND_PAUSE);
             }
         })?;
     Ok(())
 }
 
-/// Keeper keeps the holder map in line with the live daemons.
-struct Keeper<'a, B> {
+/// Maintainer keeps the holder map in line with the live daemons.
+struct Maintainer<'a, B> {
     daemon: &'a Daemon<B>,
-    read: Option<Millis>,
-    seen: Vec<Member>,
-    since: Millis,
+    read_at: Option<Millis>,
+    live_members: Vec<Member>,
+    unchanged_since: Millis,
 }
 
-impl<B: Backend> Keeper<'_, B> {
-    fn round(&mut self) {
+impl<B: Backend> Maintainer<'_, B> {
+    fn run_round(&mut self) {
         let now = clock::now();
         let daemon = self.daemon;
         let live = lock(&daemon.table).live(now, daemon.settings.data_centre);
-        if live != self.seen {
-            self.seen = live;
-            self.since = now;
+        if live != self.live_members {
+            self.live_members = live;
+            self.unchanged_since = now;
         }
-        let settled = now.since(self.since) >= SETTLE_MS;
+        let settled = now.since(self.unchanged_since) >= MIN_UNCHANGED_MS;
         let known = lock(&daemon.holder).map().clone();
-        let told = daemon.holders_due.swap(false, Ordering::SeqCst);
-        let due = told || self.read.is_none_or(|at| now.since(at) >= SWEEP_MS);
-        let keeps = lock(&daemon.table).preferred(now, "holders");
-        let differs = known.newest().map(|newest| &newest.members) != Some(&self.seen);
-        if due || (keeps && settled && differs) || self.owes(&known) {
-            self.read = Some(now);
-            self.update(keeps && settled);
+        let requested = daemon.holder_map_outdated.swap(false, Ordering::SeqCst);
+        let read_due = requested
+            || self
+                .read_at
+                .is_none_or(|at| now.since(at) >= MAX_READ_GAP_MS);
+        let is_responsible = lock(&daemon.table).preferred(now, "holders");
+        let differs = known.newest().map(|newest| &newest.members) != Some(&self.live_members);
+        if read_due || (is_responsible && settled && differs) || self.has_unacknowledged(&known) {
+            self.read_at = Some(now);
+            self.update(is_responsible && settled);
         }
         let oldest = daemon.settings.once.oldest(clock::unix());
         lock(&daemon.holder).drop_old(oldest);
     }
 
-    /// owes tells whether this daemon has not acknowledged the newest version.
-    fn owes(&self, map: &Map) -> bool {
+    /// has_unacknowledged tells whether this daemon has not acknowledged the newest version.
+    fn has_unacknowledged(&self, map: &Map) -> bool {
         let me = &self.daemon.me;
         let earlier = map.versions.iter().rev().skip(1);
         let open = |v: &stackpier_state::holders::Version| {
@@ -100,16 +103,16 @@
         {
             Fetched::Found(revision, Page::Holders(map)) => self.revise(revision, map, may_renew),
             Fetched::Absent => self.revise(ABSENT, Map::default(), may_renew),
-            Fetched::Found(..) | Fetched::Failed => self.ask_peers(),
+            Fetched::Found(..) | Fetched::Failed => self.fetch_from_peers(),
         }
     }
 
-    /// ask_peers lets a fresh daemon learn the map while the store is away.
-    fn ask_peers(&self) {
+    /// fetch_from_peers lets a fresh daemon learn the map while the store is away.
+    fn fetch_from_peers(&self) {
         if lock(&self.daemon.holder).map().number() > 0 {
             return;
         }
-        for address in self.daemon.neighbours() {
+        for address in self.daemon.local_peers() {
             let answer = self
                 .daemon
                 .peers
@@ -127,7 +130,7 @@
         lock(&daemon.holder).learn(map.clone());
         let mut next = map.clone();
         if may_renew {
-            next.renew(self.seen.clone());
+            next.renew(self.live_members.clone());
         }
         let now = clock::unix();
         let number = map.number();
@@ -144,13 +147,13 @@
             .backend
             .swap(key, revision, &Page::Holders(next.clone()));
         if let Swapped::Won(_) = swapped {
-            let grown = next.number() > number;
+            let version_added = next.number() > number;
             lock(&daemon.holder).learn(next);
-            if grown {
+            if version_added {
                 let version = number + 1;
                 info!(daemon.log, "member: holder map changed";
-                    "version" => version, "members" => self.seen.len());
-                let _ = daemon.tell_data_centre(&Request::Hint(Hint::Holders));
+                    "version" => version, "members" => self.live_members.len());
+                let _ = daemon.broadcast(&Request::Hint(Hint::Holders));
             }
         }
     }
--- a/crates/stackpierd/src/intents.rs
+++ b/crates/stackpierd/src/intents.rs
@@ -19,11 +19,11 @@
 
 /// WATCH_MS is how long one watch waits.
 const WATCH_MS: u64 = 10_000;
-/// GAP is the shortest time between two looks at the index.
-const GAP: Duration = Duration::from_millis(200);
+/// WATCH_PAUSE is the shortest time between two looks at the index.
+const WATCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// BUMP_ROUNDS is how often a bump of the index is tried against racing ones.
-const BUMP_ROUNDS: usize = 8;
+/// MAX_BUMP_ATTEMPTS is how often a bump of the index is tried against racing ones.
+const MAX_BUMP_ATTEMPTS: usize = 8;
 
 /// start watches and polls on threads of their own.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>) -> std::io::Result<()> {
@@ -35,7 +35,7 @@
             let mut seen = Seen::default();
             loop {
                 watch(&watching, &mut seen);
-                thread::sleep(GAP);
+                thread::sleep(WATCH_PAUSE);
             }
         })?;
     let polling = Arc::clone(daemon);
@@ -98,7 +98,7 @@
                 revision,
                 page,
             };
-            daemon.take_shard(page, "store");
+            daemon.apply_shard(page, "store");
             true
         }
         Fetched::Absent => true,
@@ -110,7 +110,7 @@
     /// bump_index tells the watches of all daemons that a shard changed. It is
     /// only a hint, so a failure is left to the polls.
     pub fn bump_index(&self, shard: u16) {
-        for _ in 0..BUMP_ROUNDS {
+        for _ in 0..MAX_BUMP_ATTEMPTS {
             let (revision, mut index) = match self.backend.read(Key::Index) {
                 Fetched::Found(revision, Page::Index(index)) => (revision, index),
                 Fetched::Absent => (ABSENT, Index::default()),
--- a/crates/stackpierd/src/logging.rs
+++ b/crates/stackpierd/src/logging.rs
@@ -5,22 +5,22 @@
 
 use crate::settings::{Format, Log, Settings};
 
-/// CHANNEL is how many lines may wait to be written; more are dropped and
+/// MAX_WAITING_LINES is how many lines may wait to be written; more are dropped and
 /// counted in a line of their own.
-const CHANNEL: usize = 16_384;
+const MAX_WAITING_LINES: usize = 16_384;
 
-/// logger builds the daemon's log. The guard writes out what waits when it is
+/// build_logger builds the daemon's log. The guard writes out what waits when it is
 /// dropped.
-pub fn logger(settings: &Settings) -> (Logger, slog_async::AsyncGuard) {
+pub fn build_logger(settings: &Settings) -> (Logger, slog_async::AsyncGuard) {
     let Log { format, level } = settings.log;
     let (drain, guard) = match format {
         Format::Json => {
             let drain = slog_json::Json::default(std::io::stderr());
-            asynchronous(std::sync::Mutex::new(drain).fuse())
+            wrap_async(std::sync::Mutex::new(drain).fuse())
         }
         Format::Terminal => {
             let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
-            asynchronous(slog_term::FullFormat::new(decorator).build().fuse())
+            wrap_async(slog_term::FullFormat::new(decorator).build().fuse())
         }
     };
     let drain = drain.filter_level(level).fuse();
@@ -28,12 +28,12 @@
     (Logger::root(drain, values), guard)
 }
 
-fn asynchronous<D>(drain: D) -> (slog::Fuse<slog_async::AsyncCore>, slog_async::AsyncGuard)
+fn wrap_async<D>(drain: D) -> (slog::Fuse<slog_async::AsyncCore>, slog_async::AsyncGuard)
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
     let (core, guard) = slog_async::AsyncCore::custom(drain)
-        .chan_size(CHANNEL)
+        .chan_size(MAX_WAITING_LINES)
         .build_with_guard();
     (core.fuse(), guard)
 }
--- a/crates/stackpierd/src/main.rs
+++ b/crates/stackpierd/src/main.rs
@@ -88,7 +88,7 @@
 }
 
 fn run(settings: Settings) -> Result<()> {
-    let (log, guard) = logging::logger(&settings);
+    let (log, guard) = logging::build_logger(&settings);
     let bind = |name: &str, address| {
         TcpListener::bind(address).with_context(|| format!("{name} {address}"))
     };
@@ -100,7 +100,7 @@
     let backend = Client::new(&settings.platform.to_string());
     let daemon = Arc::new(Daemon::new(Parts {
         settings,
-        boot: boot(),
+        boot: generate_boot(),
         backend,
         peers,
         log,
@@ -125,8 +125,8 @@
     Ok(())
 }
 
-/// boot names this run: later runs on a VM have higher ones.
-fn boot() -> Boot {
+/// generate_boot names this run: later runs on a VM have higher ones.
+fn generate_boot() -> Boot {
     let random: u64 = rand::rng().random_range(0..1 << BOOT_RANDOM_BITS);
     Boot((clock::unix().0 << BOOT_RANDOM_BITS) | random)
 }
--- a/crates/stackpierd/src/metrics.rs
+++ b/crates/stackpierd/src/metrics.rs
@@ -40,16 +40,16 @@
     /// new registers all instruments.
     pub fn new(peers: &Peers) -> anyhow::Result<Metrics> {
         let instruments = Instruments::new()?;
-        observe(instruments.meter(), peers);
-        let count = |name| instruments.counter(name);
+        register_peer_counters(instruments.meter(), peers);
+        let counter = |name| instruments.counter(name);
         Ok(Metrics {
-            answers: count("stackpier_answers"),
+            answers: counter("stackpier_answers"),
             latency: instruments.seconds("stackpier_request_seconds", &LATENCY_BOUNDS),
-            retries: count("stackpier_retries"),
-            store_reads: count("stackpier_store_reads"),
-            store_swaps: count("stackpier_store_swaps"),
-            worker_calls: count("stackpier_worker_calls"),
-            placements: count("stackpier_placements"),
+            retries: counter("stackpier_retries"),
+            store_reads: counter("stackpier_store_reads"),
+            store_swaps: counter("stackpier_store_swaps"),
+            worker_calls: counter("stackpier_worker_calls"),
+            placements: counter("stackpier_placements"),
             instruments,
         })
     }
@@ -60,8 +60,8 @@
     }
 }
 
-/// observe registers the counts that the peer transport keeps.
-fn observe(meter: &Meter, peers: &Peers) {
+/// register_peer_counters registers the counts that the peer transport keeps.
+fn register_peer_counters(meter: &Meter, peers: &Peers) {
     let register = |name: &'static str, count: fn(&Counters) -> &AtomicU64| {
         let peers = peers.clone();
         let read = move |observer: &dyn AsyncInstrument<u64>| {
@@ -83,6 +83,6 @@
 }
 
 /// kind returns the label that tells counts apart.
-pub fn kind(word: &'static str) -> [KeyValue; 1] {
-    [KeyValue::new("kind", word)]
+pub fn kind_label(kind: &'static str) -> [KeyValue; 1] {
+    [KeyValue::new("kind", kind)]
 }
--- a/crates/stackpierd/src/operators.rs
+++ b/crates/stackpierd/src/operators.rs
@@ -44,7 +44,7 @@
             expect: submit.expect,
             wanted: Wanted::Submit(intent),
         })?;
-        json(&accepted)
+        json_reply(&accepted)
     }
 
     fn cancel(&self, name: Name, body: &[u8]) -> Result<Reply> {
@@ -54,30 +54,35 @@
             expect: cancel.expect,
             wanted: Wanted::Cancel(name),
         })?;
-        json(&accepted)
+        json_reply(&accepted)
     }
 
-    fn list(&self) -> Result<Reply> {
+    fn list_intents(&self) -> Result<Reply> {
         let objects = lock(&self.daemon.catalogue).objects().cloned().collect();
-        json(&Listed { objects })
+        json_reply(&Listed { objects })
     }
 
-    fn object(&self, name: Name) -> Result<Object> {
+    fn find_object(&self, name: Name) -> Result<Object> {
         let found = lock(&self.daemon.catalogue).object(name).cloned();
         found.ok_or_else(|| Error::new(Kind::NotFound, format!("no intent '{name}'")))
     }
 
     fn status(&self, name: Name) -> Result<Reply> {
-        let object = self.object(name)?;
+        let object = self.find_object(name)?;
         let data_centres = lock(&self.daemon.table).data_centres();
         let mut tasks = Vec::new();
         for data_centre in data_centres {
-            self.tasks(&object, data_centre, &mut tasks)?;
+            self.collect_tasks(&object, data_centre, &mut tasks)?;
         }
-        json(&Status { object, tasks })
+        json_reply(&Status { object, tasks })
     }
 
-    fn tasks(&self, object: &Object, data_centre: Name, tasks: &mut Vec<TaskStatus>) -> Result<()> {
+    fn collect_tasks(
+        &self,
+        object: &Object,
+        data_centre: Name,
+        tasks: &mut Vec<TaskStatus>,
+    ) -> Result<()> {
         let job = object.job.within(data_centre);
         let shard = key::shard(job, self.daemon.settings.placer.shards);
         let page = match self.daemon.backend.read(Key::Homes(data_centre, shard)) {
@@ -90,41 +95,45 @@
                 ));
             }
         };
-        let ours = page.homes.iter().filter(|home| home.work.task.job == job);
-        tasks.extend(ours.map(|home| self.task(home, data_centre)));
+        let homes = page.homes.iter().filter(|home| home.work.task.job == job);
+        tasks.extend(homes.map(|home| self.task_status(home, data_centre)));
         Ok(())
     }
 
-    fn task(&self, home: &Home, data_centre: Name) -> TaskStatus {
+    fn task_status(&self, home: &Home, data_centre: Name) -> TaskStatus {
         TaskStatus {
             data_centre,
             index: home.work.task.index,
             attempt: home.attempt,
             place: home.place,
-            running: self.runs(home.run()),
+            running: self.is_running(home.run()),
         }
     }
 
-    fn runs(&self, run: Run) -> bool {
+    fn is_running(&self, run: Run) -> bool {
         let racks = lock(&self.daemon.racks);
         let mut endpoints = racks.values().flat_map(|report| &report.endpoints);
         endpoints.any(|endpoint| endpoint.run == run)
     }
 
-    /// ready tells the platform's balancer whether to send callers here.
-    fn ready(&self) -> Result<Reply> {
-        if self.daemon.stopping() {
+    /// check_ready tells the platform's balancer whether to send callers here.
+    fn check_ready(&self) -> Result<Reply> {
+        if self.daemon.is_stopping() {
             return Err(Error::new(Kind::Stopping, "this entry VM is stopping"));
         }
         if lock(&self.daemon.table).data_centres().is_empty() {
             return Err(Error::new(Kind::StoreUnavailable, "no list of VMs yet"));
         }
-        Ok(text(b"ready\n".to_vec()))
+        Ok(text_reply(b"ready\n".to_vec()))
     }
 
-    fn metrics(&self) -> Result<Reply> {
-        let text_of = |error: anyhow::Error| Error::new(Kind::Internal, error.to_string());
-        self.daemon.metrics.text().map(text).map_err(text_of)
+    fn render_metrics(&self) -> Result<Reply> {
+        let internal_error = |error: anyhow::Error| Error::new(Kind::Internal, error.to_string());
+        self.daemon
+            .metrics
+            .text()
+            .map(text_reply)
+            .map_err(internal_error)
     }
 }
 
@@ -133,14 +142,14 @@
         let path = request.path.split('?').next().unwrap_or_default();
         let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
         match (request.method.as_str(), parts.as_slice()) {
-            ("GET", ["healthz"]) => Ok(text(b"ok\n".to_vec())),
-            ("GET", ["readyz"]) => self.ready(),
-            ("GET", ["metrics"]) => self.metrics(),
-            ("GET", ["intents"]) => self.list(),
+            ("GET", ["healthz"]) => Ok(text_reply(b"ok\n".to_vec())),
+            ("GET", ["readyz"]) => self.check_ready(),
+            ("GET", ["metrics"]) => self.render_metrics(),
+            ("GET", ["intents"]) => self.list_intents(),
             ("POST", ["intents"]) => self.submit(&request.body),
-            ("GET", ["intents", name]) => json(&self.object(named(name)?)?),
-            ("GET", ["intents", name, "status"]) => self.status(named(name)?),
-            ("POST", ["intents", name, "cancel"]) => self.cancel(named(name)?, &request.body),
+            ("GET", ["intents", name]) => json_reply(&self.find_object(parse_name(name)?)?),
+            ("GET", ["intents", name, "status"]) => self.status(parse_name(name)?),
+            ("POST", ["intents", name, "cancel"]) => self.cancel(parse_name(name)?, &request.body),
             (_, ["healthz" | "readyz" | "metrics" | "intents", ..]) => {
                 let text = format!("{} is not allowed at {path}", request.method);
                 Err(Error::new(Kind::WrongMethod, text))
@@ -150,25 +159,25 @@
     }
 }
 
-fn named(text: &str) -> Result<Name> {
+fn parse_name(text: &str) -> Result<Name> {
     let reason = |reason| stackpier_core::field::invalid("name", format!("'{text}'"), reason);
     Ok(Name::try_from(text).map_err(reason)?)
 }
 
-fn json<T: Serialize>(value: &T) -> Result<Reply> {
-    Ok(reply("application/json", to_json(value)?))
+fn json_reply<T: Serialize>(value: &T) -> Result<Reply> {
+    Ok(build_reply("application/json", to_json(value)?))
 }
 
-fn text(body: Vec<u8>) -> Reply {
-    reply("text/plain; charset=utf-8", body)
+fn text_reply(body: Vec<u8>) -> Reply {
+    build_reply("text/plain; charset=utf-8", body)
 }
 
-fn reply(kind: &str, body: Vec<u8>) -> Reply {
+fn build_reply(content_type: &str, body: Vec<u8>) -> Reply {
     Reply {
         status: 200,
         headers: vec![Header {
             name: "content-type".to_owned(),
-            value: kind.to_owned(),
+            value: content_type.to_owned(),
         }],
         body,
     }
--- a/crates/stackpierd/src/peers.rs
+++ b/crates/stackpierd/src/peers.rs
@@ -27,7 +27,7 @@
         Peers { daemon }
     }
 
-    fn shards(&self, wanted: &[u16]) -> Vec<ShardPage> {
+    fn read_shards(&self, wanted: &[u16]) -> Vec<ShardPage> {
         let catalogue = lock(&self.daemon.catalogue);
         let page = |shard: &u16| {
             let (revision, page) = catalogue.page(*shard)?;
@@ -40,7 +40,7 @@
         wanted.iter().filter_map(page).collect()
     }
 
-    fn roster(&self) -> Roster {
+    fn build_roster(&self) -> Roster {
         let table = lock(&self.daemon.table);
         let names: Vec<Name> = table.names().collect();
         let vms: Vec<Vm> = names
@@ -55,21 +55,23 @@
     fn serve(&self, request: Request) -> Response {
         let daemon = &self.daemon;
         match request {
-            Request::Heartbeat(beat) => Response::Heartbeat(daemon.take_heartbeat(&beat)),
+            Request::Heartbeat(beat) => Response::Heartbeat(daemon.handle_heartbeat(&beat)),
             Request::Digest => Response::Digest(lock(&daemon.catalogue).digest()),
-            Request::Shards(wanted) => Response::Shards(self.shards(&wanted)),
-            Request::SealThere(key) => Response::SealedThere(daemon.seal_here(key)),
+            Request::Shards(wanted) => Response::Shards(self.read_shards(&wanted)),
+            Request::SealThere(key) => Response::SealedThere(daemon.seal_locally(key)),
             Request::Map => Response::Map(lock(&daemon.holder).map().clone()),
-            Request::Roster => Response::Roster(self.roster()),
+            Request::Roster => Response::Roster(self.build_roster()),
             Request::Hint(Hint::Holders) => {
-                daemon.holders_due.store(true, Ordering::SeqCst);
+                daemon.holder_map_outdated.store(true, Ordering::SeqCst);
                 Response::Taken
             }
             Request::Hint(hint) => {
                 let _ = daemon.scheduler.send(Input::Hint(hint));
                 Response::Taken
             }
-            held @ (Request::Grant(_) | Request::Seal(_) | Request::Finish(_)) => daemon.hold(held),
+            message @ (Request::Grant(_) | Request::Seal(_) | Request::Finish(_)) => {
+                daemon.serve_as_holder(message)
+            }
         }
     }
 }
--- a/crates/stackpierd/src/sender.rs
+++ b/crates/stackpierd/src/pool.rs
@@ -21,16 +21,16 @@
 /// Pool runs jobs on threads that it starts as they are needed.
 pub struct Pool<J> {
     queue: Sender<J>,
-    taken: Receiver<J>,
+    jobs: Receiver<J>,
     idle: Arc<AtomicUsize>,
 }
 
 impl<J: Job> Default for Pool<J> {
     fn default() -> Self {
-        let (queue, taken) = flume::unbounded();
+        let (queue, jobs) = flume::unbounded();
         Pool {
             queue,
-            taken,
+            jobs,
             idle: Arc::default(),
         }
     }
@@ -40,23 +40,23 @@
     /// run hands a job to a thread. The count of jobs at once is bounded by
     /// the callers' requests.
     pub fn run(&self, job: J) {
-        let claimed = self
+        let reserved = self
             .idle
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |idle| {
                 idle.checked_sub(1)
             });
-        if claimed.is_err() {
-            self.grow();
+        if reserved.is_err() {
+            self.spawn_thread();
         }
         let _ = self.queue.send(job);
     }
 
-    fn grow(&self) {
-        let taken = self.taken.clone();
+    fn spawn_thread(&self) {
+        let jobs = self.jobs.clone();
         let idle = Arc::clone(&self.idle);
         let thread = thread::Builder::new().name("sender".to_owned());
         let started = thread.spawn(move || {
-            for job in taken {
+            for job in jobs {
                 job.run();
                 idle.fetch_add(1, Ordering::SeqCst);
             }
--- a/crates/stackpierd/src/request.rs
+++ b/crates/stackpierd/src/request.rs
@@ -11,20 +11,20 @@
 use stackpier_state::ledger::Reply;
 use stackpier_transport::callers;
 
-use self::dispatch::Sending;
+use self::dispatch::Delivery;
 use crate::{
     backend::Backend,
     clock,
     daemon::{Daemon, lock},
     metrics,
-    sender::Pool,
+    pool::Pool,
 };
 
 /// Callers is the service behind the callers' port.
 pub struct Callers<B: Backend> {
     daemon: Arc<Daemon<B>>,
-    pool: Pool<Sending<B>>,
-    tries: AtomicU64,
+    pool: Pool<Delivery<B>>,
+    next_number: AtomicU64,
 }
 
 impl<B: Backend> Callers<B> {
@@ -33,7 +33,7 @@
         Callers {
             daemon,
             pool: Pool::default(),
-            tries: AtomicU64::new(0),
+            next_number: AtomicU64::new(0),
         }
     }
 }
@@ -42,27 +42,30 @@
     fn serve(&self, raw: callers::Request) -> Result<Reply> {
         let arrived = clock::now();
         let answer = self.answer(arrived, raw);
-        let word = answer
+        let kind = answer
             .as_ref()
             .map_or_else(|error| error.kind.as_str(), |_| "done");
         let took = clock::now().since(arrived);
-        self.daemon.metrics.answers.add(1, &metrics::kind(word));
+        self.daemon
+            .metrics
+            .answers
+            .add(1, &metrics::kind_label(kind));
         self.daemon
             .metrics
             .latency
-            .record(took as f64 / 1_000.0, &metrics::kind(word));
+            .record(took as f64 / 1_000.0, &metrics::kind_label(kind));
         answer
     }
 
     fn closing(&self) -> bool {
-        self.daemon.stopping()
+        self.daemon.is_stopping()
     }
 }
 
 impl<B: Backend> Callers<B> {
     /// answer brings a request to its answer.
     fn answer(&self, arrived: Millis, raw: callers::Request) -> Result<Reply> {
-        if self.daemon.stopping() {
+        if self.daemon.is_stopping() {
             return Err(Error::new(Kind::Stopping, "this entry VM is stopping"));
         }
         let call = call::check(arrived, raw, self.daemon.settings.deadline_ms)?;
--- a/crates/stackpierd/src/request/call.rs
+++ b/crates/stackpierd/src/request/call.rs
@@ -22,34 +22,34 @@
     /// The key of a request that must not be repeated.
     pub key: Option<Key>,
     /// Whether it is the caller's first attempt.
-    pub first: bool,
+    pub first_attempt: bool,
     /// What goes to an upstream.
     pub request: Arc<Request>,
 }
 
 /// check turns a raw request into a call.
 pub(super) fn check(arrived: Millis, raw: callers::Request, default_ms: u64) -> Result<Call> {
-    let (service, path) = target(&raw.path)?;
+    let (service, path) = parse_target(&raw.path)?;
     let wait = match raw.header(DEADLINE_HEADER) {
         None => default_ms,
-        Some(text) => deadline(text)?,
+        Some(text) => parse_deadline(text)?,
     };
-    let repeatable = repeatable(&raw)?;
+    let repeatable = parse_repeatable(&raw)?;
     let key = match (repeatable, raw.header(KEY_HEADER)) {
         (true, _) => None,
-        (false, Some(text)) => Some(request_key(text)?),
+        (false, Some(text)) => Some(parse_key(text)?),
         (false, None) => {
             let text =
                 format!("a request that must not be repeated needs '{KEY_HEADER}', a UUIDv7");
             return Err(Error::new(Kind::BadKey, text));
         }
     };
-    let first = raw.header(ATTEMPT_HEADER) == Some(FIRST_ATTEMPT);
+    let first_attempt = raw.header(ATTEMPT_HEADER) == Some(FIRST_ATTEMPT);
     Ok(Call {
         service,
         deadline: arrived.plus(wait),
         key,
-        first,
+        first_attempt,
         request: Arc::new(Request {
             method: raw.method,
             path,
@@ -59,39 +59,39 @@
     })
 }
 
-fn bad(field: &str, value: &str, allowed: &str) -> Error {
+fn invalid_value(field: &str, value: &str, allowed: &str) -> Error {
     stackpier_core::field::invalid(field, format!("'{value}'"), allowed).into()
 }
 
-fn target(path: &str) -> Result<(Name, String)> {
+fn parse_target(path: &str) -> Result<(Name, String)> {
     let trimmed = path.strip_prefix('/').unwrap_or(path);
     let end = trimmed.find(['/', '?']).unwrap_or(trimmed.len());
     let (service, rest) = trimmed.split_at(end);
     let name = Name::try_from(service)
-        .map_err(|reason| bad("path", service, &format!("/SERVICE/...: {reason}")))?;
+        .map_err(|reason| invalid_value("path", service, &format!("/SERVICE/...: {reason}")))?;
     Ok((name, rest.to_owned()))
 }
 
-fn deadline(text: &str) -> Result<u64> {
+fn parse_deadline(text: &str) -> Result<u64> {
     let allowed = format!("1 to {MAX_DEADLINE_MS} ms");
     match text.parse() {
         Ok(ms) if (1..=MAX_DEADLINE_MS).contains(&ms) => Ok(ms),
-        _ => Err(bad(DEADLINE_HEADER, text, &allowed)),
+        _ => Err(invalid_value(DEADLINE_HEADER, text, &allowed)),
     }
 }
 
-fn repeatable(raw: &callers::Request) -> Result<bool> {
+fn parse_repeatable(raw: &callers::Request) -> Result<bool> {
     match raw.header(REPEATABLE_HEADER) {
         Some("yes") => Ok(true),
         Some("no") => Ok(false),
-        Some(other) => Err(bad(REPEATABLE_HEADER, other, "yes or no")),
+        Some(other) => Err(invalid_value(REPEATABLE_HEADER, other, "yes or no")),
         None => Ok(matches!(raw.method.as_str(), "GET" | "HEAD")),
     }
 }
 
-fn request_key(text: &str) -> Result<Key> {
+fn parse_key(text: &str) -> Result<Key> {
     Key::try_from(text).map_err(|_| {
-        let error = bad(KEY_HEADER, text, "a UUID of version 7");
+        let error = invalid_value(KEY_HEADER, text, "a UUID of version 7");
         // No daemon takes such a key, so no attempt with it can have run.
         Error::new(Kind::BadKey, error.message).with_ran(Ran::No)
     })
--- a/crates/stackpierd/src/request/dispatch.rs
+++ b/crates/stackpierd/src/request/dispatch.rs
@@ -10,13 +10,13 @@
 use stackpier_state::ledger::{Record, Reply};
 use stackpier_transport::platform::{Sent, Upstream};
 
-use super::{Callers, call::Call, keyed::Held};
+use super::{Callers, call::Call, keyed::OpenGrant};
 use crate::{
     backend::Backend,
     clock,
     daemon::{Daemon, lock},
+    pool::Job,
     routing::{Acquired, Slot},
-    sender::Job,
 };
 
 /// MAX_SENDS bounds how often one request is sent.
@@ -24,26 +24,26 @@
 /// MAX_KEPT_BODY is the largest body that is kept for repeats, in bytes; a
 /// repeat of a request with a larger answer is told that it may have run.
 const MAX_KEPT_BODY: usize = 64 * 1024;
-/// LINGER_MS is how long past the caller's deadline the outcome of a request
+/// OUTCOME_WAIT_MS is how long past the caller's deadline the outcome of a request
 /// that must not be repeated is waited for, so that a repeat learns it.
-const LINGER_MS: u64 = 10_000;
+const OUTCOME_WAIT_MS: u64 = 10_000;
 
 impl<B: Backend> Callers<B> {
     /// dispatch sends a request to upstreams until it has a final answer.
-    pub(super) fn dispatch(&self, call: &Call, held: Option<Held>) -> Result<Reply> {
+    pub(super) fn dispatch(&self, call: &Call, grant: Option<OpenGrant>) -> Result<Reply> {
         let mut avoid: Vec<Name> = Vec::new();
-        let mut last = Error::new(
+        let mut last_error = Error::new(
             Kind::NoUpstream,
             format!("no upstream runs '{}'", call.service),
         );
         for sends in 0..MAX_SENDS {
-            if sends > 0 && !self.daemon.routing.may_retry(call.service) {
+            if sends > 0 && !self.daemon.routing.consume_retry(call.service) {
                 break;
             }
             let slot = match self.acquire(call, &avoid) {
                 Ok(slot) => slot,
                 Err(error) => {
-                    last = error;
+                    last_error = error;
                     break;
                 }
             };
@@ -51,24 +51,24 @@
             if sends > 0 {
                 self.daemon.metrics.retries.add(1, &[]);
             }
-            match self.send(call, slot, held) {
+            match self.send(call, slot, grant) {
                 Attempt::Whole(reply) => return Ok(reply),
-                Attempt::NotRun(error) => last = error,
+                Attempt::NotRun(error) => last_error = error,
                 Attempt::Unknown(error) => {
                     // What may have run is sent again only if it may be repeated.
-                    if held.is_some() || clock::now() >= call.deadline {
+                    if grant.is_some() || clock::now() >= call.deadline {
                         return Err(error);
                     }
-                    last = error;
+                    last_error = error;
                 }
             }
         }
-        if let Some(held) = held {
-            self.daemon.finish(held, Record::NotRun);
+        if let Some(grant) = grant {
+            self.daemon.finish_grant(grant, Record::NotRun);
             // The holders have settled that no attempt with this key ran.
-            return Err(last.with_ran(Ran::No));
+            return Err(last_error.with_ran(Ran::No));
         }
-        Err(last)
+        Err(last_error)
     }
 
     fn acquire(&self, call: &Call, avoid: &[Name]) -> Result<Slot> {
@@ -77,8 +77,8 @@
             .routing
             .acquire(call.service, call.deadline, avoid)
         {
-            Acquired::Slot(slot) if self.daemon.stopping() => {
-                self.daemon.routing.done(slot, 0, Outcome::Busy);
+            Acquired::Slot(slot) if self.daemon.is_stopping() => {
+                self.daemon.routing.release(slot, 0, Outcome::Busy);
                 Err(Error::new(Kind::Stopping, "this entry VM is stopping"))
             }
             Acquired::Slot(slot) => Ok(slot),
@@ -98,24 +98,24 @@
     }
 
     /// send sends a request once and waits until the deadline.
-    fn send(&self, call: &Call, slot: Slot, held: Option<Held>) -> Attempt {
+    fn send(&self, call: &Call, slot: Slot, grant: Option<OpenGrant>) -> Attempt {
         let (reply, answered) = flume::bounded(1);
-        self.pool.run(Sending {
+        self.pool.run(Delivery {
             daemon: Arc::clone(&self.daemon),
             call: call.clone(),
             slot,
-            held,
+            grant,
             reply,
         });
         let left = call.deadline.since(clock::now());
         let attempt = match answered.recv_timeout(Duration::from_millis(left)) {
             Ok(attempt) => attempt,
-            Err(_) => unknown("the deadline passed after the request was sent"),
+            Err(_) => unknown_outcome("the deadline passed after the request was sent"),
         };
         info!(self.daemon.log, "route: sent";
             "service" => %call.service, "upstream" => %slot.endpoint.worker,
             "key" => call.key.map(|key| key.to_string()),
-            "result" => attempt.word());
+            "result" => attempt.as_str());
         attempt
     }
 }
@@ -128,7 +128,7 @@
 }
 
 impl Attempt {
-    fn word(&self) -> &'static str {
+    fn as_str(&self) -> &'static str {
         match self {
             Attempt::Whole(_) => "done",
             Attempt::NotRun(_) => "not-run",
@@ -137,38 +137,38 @@
     }
 }
 
-fn unknown(text: &str) -> Attempt {
+fn unknown_outcome(text: &str) -> Attempt {
     Attempt::Unknown(Error::new(Kind::OutcomeUnknown, text))
 }
 
-/// Sending waits for one upstream's answer, past the caller's deadline if need
+/// Delivery waits for one upstream's answer, past the caller's deadline if need
 /// be, gives the slot back and tells the holder.
-pub(super) struct Sending<B: Backend> {
+pub(super) struct Delivery<B: Backend> {
     daemon: Arc<Daemon<B>>,
     call: Call,
     slot: Slot,
-    held: Option<Held>,
+    grant: Option<OpenGrant>,
     reply: Sender<Attempt>,
 }
 
-impl<B: Backend> Job for Sending<B> {
+impl<B: Backend> Job for Delivery<B> {
     fn run(self) {
         let started = clock::now();
         let sent = self.exchange(started);
         let took = clock::now().since(started);
-        let late = clock::now() >= self.call.deadline;
+        let deadline_passed = clock::now() >= self.call.deadline;
         self.daemon
             .routing
-            .done(self.slot, took, outcome(&sent, late));
-        if let (Some(held), Some(record)) = (self.held, record(&sent)) {
-            self.daemon.finish(held, record);
+            .release(self.slot, took, to_outcome(&sent, deadline_passed));
+        if let (Some(grant), Some(record)) = (self.grant, to_record(&sent)) {
+            self.daemon.finish_grant(grant, record);
         }
         // The caller may have given up; then nobody listens.
-        let _ = self.reply.send(attempt(sent));
+        let _ = self.reply.send(to_attempt(sent));
     }
 }
 
-impl<B: Backend> Sending<B> {
+impl<B: Backend> Delivery<B> {
     fn exchange(&self, started: Millis) -> Sent {
         let endpoint = self.slot.endpoint;
         let address = {
@@ -184,26 +184,30 @@
             run: endpoint.run,
         };
         let left = self.call.deadline.since(started);
-        let linger = if self.held.is_some() { LINGER_MS } else { 0 };
+        let extra = if self.grant.is_some() {
+            OUTCOME_WAIT_MS
+        } else {
+            0
+        };
         self.daemon
             .backend
-            .send(upstream, &self.call.request, left + linger)
+            .send(upstream, &self.call.request, left + extra)
     }
 }
 
-fn outcome(sent: &Sent, late: bool) -> Outcome {
+fn to_outcome(sent: &Sent, deadline_passed: bool) -> Outcome {
     match sent {
         Sent::Whole(_) => Outcome::Answered,
         Sent::Busy => Outcome::Busy,
         Sent::NotRun => Outcome::Refused,
-        Sent::Broken if late => Outcome::TimedOut,
+        Sent::Broken if deadline_passed => Outcome::TimedOut,
         Sent::Broken => Outcome::Broken,
     }
 }
 
-/// record returns what the holder is told. A request that was not run stays
+/// to_record returns what the holder is told. A request that was not run stays
 /// granted, as it may be sent to another upstream.
-fn record(sent: &Sent) -> Option<Record> {
+fn to_record(sent: &Sent) -> Option<Record> {
     match sent {
         Sent::Whole(reply) if reply.body.len() > MAX_KEPT_BODY => Some(Record::Unknown),
         Sent::Whole(reply) => Some(Record::Done(reply.clone())),
@@ -212,11 +216,11 @@
     }
 }
 
-fn attempt(sent: Sent) -> Attempt {
+fn to_attempt(sent: Sent) -> Attempt {
     match sent {
         Sent::Whole(reply) => Attempt::Whole(reply),
         Sent::Busy => Attempt::NotRun(Error::new(Kind::Overloaded, "every slot is taken")),
         Sent::NotRun => Attempt::NotRun(Error::new(Kind::NoUpstream, "the upstream is not there")),
-        Sent::Broken => unknown("the upstream gave no whole answer"),
+        Sent::Broken => unknown_outcome("the upstream gave no whole answer"),
     }
 }
--- a/crates/stackpierd/src/request/keyed.rs
+++ b/crates/stackpierd/src/request/keyed.rs
@@ -22,17 +22,17 @@
     daemon::{Daemon, lock},
 };
 
-/// ASK_ROUNDS bounds how often the holders are asked anew while the maps of
+/// MAX_ROUNDS bounds how often the holders are asked anew while the maps of
 /// daemons are out of step.
-const ASK_ROUNDS: usize = 20;
-/// ASK_PAUSE is the time between two rounds.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
-/// JOIN_PAUSE is the time between two looks at a key that is in progress.
-const JOIN_PAUSE: Duration = Duration::from_millis(20);
+const MAX_ROUNDS: usize = 20;
+/// ROUND_PAUSE is the time between two rounds.
+const ROUND_PAUSE: Duration = Duration::from_millis(50);
+/// IN_PROGRESS_PAUSE is the time between two looks at a key that is in progress.
+const IN_PROGRESS_PAUSE: Duration = Duration::from_millis(20);
 
-/// Held is a grant that must be finished at its holder.
+/// OpenGrant is a grant that must be finished at its holder.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Held {
+pub(super) struct OpenGrant {
     /// The key.
     pub key: Key,
     /// The holder that granted it.
@@ -46,18 +46,18 @@
     /// of its key allows.
     pub(super) fn dispatch_once(&self, call: &Call, key: Key) -> Result<Reply> {
         let options = self.daemon.settings.once;
-        let in_time = options.check(key, clock::unix());
-        in_time.map_err(|kind| untimely(kind, call.first))?;
+        let checked = options.check(key, clock::unix());
+        checked.map_err(|kind| refuse_outside_window(kind, call.first_attempt))?;
         loop {
-            let (verdict, by) = self.settle(call, key);
+            let (verdict, by) = self.decide(call, key);
             match verdict {
                 Verdict::Run(holder) => {
-                    let held = Held { key, holder, by };
-                    return self.dispatch(call, Some(held));
+                    let grant = OpenGrant { key, holder, by };
+                    return self.dispatch(call, Some(grant));
                 }
                 Verdict::Repeat(reply) => return Ok(reply),
                 Verdict::Refuse(Kind::InProgress) if clock::now() < call.deadline => {
-                    thread::sleep(JOIN_PAUSE);
+                    thread::sleep(IN_PROGRESS_PAUSE);
                 }
                 Verdict::Refuse(kind) => {
                     info!(self.daemon.log, "route: key refused"; "key" => %key, "why" => kind.as_str());
@@ -67,31 +67,31 @@
         }
     }
 
-    /// settle asks the holders until the key is decided. Daemons whose maps are
+    /// decide asks the holders until the key is decided. Daemons whose maps are
     /// out of step learn from each other between rounds.
-    fn settle(&self, call: &Call, key: Key) -> (Verdict, Grantee) {
+    fn decide(&self, call: &Call, key: Key) -> (Verdict, Grantee) {
         let mut rounds = 0;
         loop {
-            let by = self.grantee();
-            let (verdict, out_of_step) = self.settle_round(call, key, by);
+            let by = self.new_grantee();
+            let (verdict, out_of_step) = self.try_decide(call, key, by);
             rounds += 1;
-            if !out_of_step || rounds >= ASK_ROUNDS || clock::now() >= call.deadline {
+            if !out_of_step || rounds >= MAX_ROUNDS || clock::now() >= call.deadline {
                 return (verdict, by);
             }
-            thread::sleep(ASK_PAUSE);
+            thread::sleep(ROUND_PAUSE);
         }
     }
 
-    fn grantee(&self) -> Grantee {
+    fn new_grantee(&self) -> Grantee {
         Grantee {
             boot: self.daemon.me.boot,
-            number: self.tries.fetch_add(1, Ordering::Relaxed),
+            number: self.next_number.fetch_add(1, Ordering::Relaxed),
         }
     }
 
-    /// settle_round asks the holders once. It also tells whether some holder
+    /// try_decide asks the holders once. It also tells whether some holder
     /// went by another map.
-    fn settle_round(&self, call: &Call, key: Key, by: Grantee) -> (Verdict, bool) {
+    fn try_decide(&self, call: &Call, key: Key, by: Grantee) -> (Verdict, bool) {
         let map = lock(&self.daemon.holder).map().clone();
         let data_centres = lock(&self.daemon.table).data_centres();
         let data_centres: Vec<Name> = data_centres.into_iter().collect();
@@ -100,16 +100,16 @@
             data_centre: self.daemon.settings.data_centre,
             map: &map,
             data_centres: &data_centres,
-            first: call.first,
+            first: call.first_attempt,
         };
         let (mut once, mut progress) = Once::new(key, setting, self.daemon.settings.once);
         loop {
             match progress {
-                Progress::Ask(ask) => progress = once.tell(self.ask(&ask)),
+                Progress::Ask(ask) => progress = once.tell(self.perform(&ask)),
                 Progress::Decided(verdict, unused) => {
                     if let Some(holder) = unused {
-                        let held = Held { key, holder, by };
-                        self.daemon.finish(held, Record::NotRun);
+                        let grant = OpenGrant { key, holder, by };
+                        self.daemon.finish_grant(grant, Record::NotRun);
                     }
                     return (verdict, once.out_of_step());
                 }
@@ -117,21 +117,21 @@
         }
     }
 
-    fn ask(&self, ask: &Ask) -> Told {
+    fn perform(&self, ask: &Ask) -> Told {
         match ask {
-            Ask::Seal(holder, seal) => self.daemon.ask_holder(*holder, Message::Seal(*seal)),
-            Ask::Grant(holder, grant) => self.daemon.ask_holder(*holder, Message::Grant(*grant)),
-            Ask::There(data_centre, key) => self.daemon.ask_there(*data_centre, *key),
+            Ask::Seal(holder, seal) => self.daemon.call_holder(*holder, Message::Seal(*seal)),
+            Ask::Grant(holder, grant) => self.daemon.call_holder(*holder, Message::Grant(*grant)),
+            Ask::There(data_centre, key) => self.daemon.seal_remotely(*data_centre, *key),
         }
     }
 }
 
 impl<B: Backend> Daemon<B> {
-    /// ask_holder asks the holder of a key, which may be this daemon.
-    fn ask_holder(&self, holder: Member, message: Message) -> Told {
+    /// call_holder asks the holder of a key, which may be this daemon.
+    fn call_holder(&self, holder: Member, message: Message) -> Told {
         let response = match holder.boot == self.me.boot {
-            true => Some(self.hold(message)),
-            false => self.ask(holder.vm, &message),
+            true => Some(self.serve_as_holder(message)),
+            false => self.call_daemon(holder.vm, &message),
         };
         match response {
             Some(Response::Held(held)) => {
@@ -144,12 +144,12 @@
         }
     }
 
-    /// hold serves a message to this daemon as a holder.
-    pub fn hold(&self, message: Message) -> Response {
+    /// serve_as_holder serves a message to this daemon as a holder.
+    pub fn serve_as_holder(&self, message: Message) -> Response {
         let mut holder = lock(&self.holder);
         match message {
-            Message::Grant(grant) => self.held(holder.grant(grant)),
-            Message::Seal(seal) => self.held(holder.seal(seal)),
+            Message::Grant(grant) => self.build_held_response(holder.grant(grant)),
+            Message::Seal(seal) => self.build_held_response(holder.seal(seal)),
             Message::Finish(finish) => {
                 holder.finish(finish);
                 Response::Taken
@@ -158,47 +158,49 @@
         }
     }
 
-    /// held passes on a holder's answer, and has the map read again where the
+    /// build_held_response passes on a holder's answer, and has the map read again where the
     /// sender knew a newer one.
-    fn held(&self, held: HolderAnswer) -> Response {
+    fn build_held_response(&self, held: HolderAnswer) -> Response {
         if held == HolderAnswer::Behind {
-            self.holders_due.store(true, Ordering::SeqCst);
+            self.holder_map_outdated.store(true, Ordering::SeqCst);
         }
         Response::Held(held)
     }
 
-    /// finish tells the holder of a key its outcome. A lost word leaves the
+    /// finish_grant tells the holder of a key its outcome. A lost word leaves the
     /// key granted, which refuses repeats as in progress.
-    pub(super) fn finish(&self, held: Held, record: Record) {
-        let Held { key, holder, by } = held;
+    pub(super) fn finish_grant(&self, grant: OpenGrant, record: Record) {
+        let OpenGrant { key, holder, by } = grant;
         let message = Message::Finish(Finish { key, by, record });
         if holder.boot == self.me.boot {
-            self.hold(message);
+            self.serve_as_holder(message);
             return;
         }
-        self.ask(holder.vm, &message);
+        self.call_daemon(holder.vm, &message);
     }
 
-    /// ask_there has a key sealed in another data centre by any daemon there.
-    fn ask_there(&self, data_centre: Name, key: Key) -> Told {
+    /// seal_remotely has a key sealed in another data centre by any daemon there.
+    fn seal_remotely(&self, data_centre: Name, key: Key) -> Told {
         let daemons: Vec<Name> = {
             let table = lock(&self.table);
             let there = table.peers().filter(|vm| vm.data_centre == data_centre);
             there.map(|vm| vm.name).collect()
         };
         for vm in daemons {
-            if let Some(Response::SealedThere(sealing)) = self.ask(vm, &Message::SealThere(key)) {
+            if let Some(Response::SealedThere(sealing)) =
+                self.call_daemon(vm, &Message::SealThere(key))
+            {
                 return Told::There(sealing);
             }
         }
         Told::Silence
     }
 
-    /// seal_here seals a key at all holders of this data centre.
-    pub fn seal_here(&self, key: Key) -> Sealing {
+    /// seal_locally seals a key at all holders of this data centre.
+    pub fn seal_locally(&self, key: Key) -> Sealing {
         let map = lock(&self.holder).map().clone();
         let seals = once::seals(key, &map, self.settings.once);
-        let ask = |(holder, seal)| match self.ask_holder(holder, Message::Seal(seal)) {
+        let ask = |(holder, seal)| match self.call_holder(holder, Message::Seal(seal)) {
             Told::Held(held) => Some(held),
             Told::There(_) | Told::Silence => None,
         };
@@ -207,11 +209,11 @@
     }
 }
 
-/// untimely refuses a key whose time is out of the window. Only of a first
+/// refuse_outside_window refuses a key whose time is out of the window. Only of a first
 /// attempt it is known that none before it ran.
-fn untimely(kind: Kind, first: bool) -> Error {
+fn refuse_outside_window(kind: Kind, first_attempt: bool) -> Error {
     let error = refusal(kind);
-    match first {
+    match first_attempt {
         true => Error::new(Kind::BadKey, error.message),
         false => error,
     }
--- a/crates/stackpierd/src/routing.rs
+++ b/crates/stackpierd/src/routing.rs
@@ -25,7 +25,7 @@
     router: Router,
     waiting: HashMap<Ticket, Sender<Slot>>,
     rng: ChaCha8Rng,
-    next: u64,
+    next_ticket: u64,
 }
 
 /// Slot is a place at an upstream, which must be given back.
@@ -60,52 +60,52 @@
                 router: Router::new(options),
                 waiting: HashMap::new(),
                 rng: ChaCha8Rng::seed_from_u64(boot.0),
-                next: 0,
+                next_ticket: 0,
             }),
         }
     }
 
     /// acquire asks for a slot and waits for one at most until the deadline.
     pub fn acquire(&self, service: Name, deadline: Millis, avoid: &[Name]) -> Acquired {
-        let (granted, given) = flume::bounded(1);
+        let (slot_sender, slot_receiver) = flume::bounded(1);
         let ticket = {
             let mut inner = lock(&self.inner);
-            let ticket = Ticket(inner.next);
-            inner.next += 1;
-            match inner.arrive(service, deadline, ticket, avoid) {
-                Choice::Send(key) => return inner.acquired(service, key),
+            let ticket = Ticket(inner.next_ticket);
+            inner.next_ticket += 1;
+            match inner.request_slot(service, deadline, ticket, avoid) {
+                Choice::Send(key) => return inner.resolve(service, key),
                 Choice::Shed(ms) => return Acquired::Shed(ms),
                 Choice::NoUpstream => return Acquired::NoUpstream,
                 Choice::Wait => {}
             }
-            inner.waiting.insert(ticket, granted);
+            inner.waiting.insert(ticket, slot_sender);
             ticket
         };
         let wait = deadline.since(clock::now());
-        if let Ok(slot) = given.recv_timeout(Duration::from_millis(wait)) {
+        if let Ok(slot) = slot_receiver.recv_timeout(Duration::from_millis(wait)) {
             return Acquired::Slot(slot);
         }
         let mut inner = lock(&self.inner);
         inner.waiting.remove(&ticket);
         inner.router.service(service).leave(deadline, ticket);
         // A slot may have come between the time-out and the lock.
-        if let Ok(slot) = given.try_recv() {
+        if let Ok(slot) = slot_receiver.try_recv() {
             inner.router.service(service).cancel(slot.key);
-            inner.hand_out(service);
+            inner.assign_slots(service);
         }
         Acquired::DeadlinePassed
     }
 
-    /// done gives a slot back with the outcome of its request.
-    pub fn done(&self, slot: Slot, took_ms: u64, outcome: Outcome) {
+    /// release gives a slot back with the outcome of its request.
+    pub fn release(&self, slot: Slot, took_ms: u64, outcome: Outcome) {
         let mut inner = lock(&self.inner);
         let service = inner.router.service(slot.service);
         service.done(clock::now(), slot.key, took_ms, outcome);
-        inner.hand_out(slot.service);
+        inner.assign_slots(slot.service);
     }
 
-    /// may_retry takes a retry from the budget of a service.
-    pub fn may_retry(&self, service: Name) -> bool {
+    /// consume_retry takes a retry from the budget of a service.
+    pub fn consume_retry(&self, service: Name) -> bool {
         lock(&self.inner).router.service(service).may_retry()
     }
 
@@ -115,18 +115,18 @@
         inner.router.update(endpoints);
         let names: Vec<Name> = inner.router.names().collect();
         for name in names {
-            inner.hand_out(name);
+            inner.assign_slots(name);
         }
     }
 
-    /// upstreams returns the count of upstreams of a service.
-    pub fn upstreams(&self, service: Name) -> usize {
+    /// count_upstreams returns the count of upstreams of a service.
+    pub fn count_upstreams(&self, service: Name) -> usize {
         lock(&self.inner).router.service(service).len()
     }
 }
 
 impl Inner {
-    fn arrive(
+    fn request_slot(
         &mut self,
         service: Name,
         deadline: Millis,
@@ -137,7 +137,7 @@
         state.arrive(clock::now(), deadline, ticket, avoid, &mut self.rng)
     }
 
-    fn acquired(&mut self, service: Name, key: Key) -> Acquired {
+    fn resolve(&mut self, service: Name, key: Key) -> Acquired {
         let state = self.router.service(service);
         let slot = state.upstream(key).map(|upstream| Slot {
             service,
@@ -147,8 +147,8 @@
         slot.map_or(Acquired::NoUpstream, Acquired::Slot)
     }
 
-    /// hand_out gives free slots to the requests that wait.
-    fn hand_out(&mut self, service: Name) {
+    /// assign_slots gives free slots to the requests that wait.
+    fn assign_slots(&mut self, service: Name) {
         let state = self.router.service(service);
         for (ticket, key) in state.freed(clock::now(), &mut self.rng) {
             let slot = state.upstream(key).map(|upstream| Slot {
@@ -157,11 +157,11 @@
                 endpoint: upstream.endpoint,
             });
             let waiter = self.waiting.remove(&ticket);
-            let taken = match (slot, waiter) {
+            let delivered = match (slot, waiter) {
                 (Some(slot), Some(waiter)) => waiter.send(slot).is_ok(),
                 _ => false,
             };
-            if !taken {
+            if !delivered {
                 state.cancel(key);
             }
         }
--- a/crates/stackpierd/src/scheduler.rs
+++ b/crates/stackpierd/src/scheduler.rs
@@ -52,8 +52,8 @@
     GiveUp,
 }
 
-/// Task is a piece of I/O for one machine.
-enum Task {
+/// Operation is a piece of I/O for one machine.
+enum Operation {
     Read(Target, Key),
     Swap(Target, Key, Revision, Box<Page>),
     Sync(Target, Name, Call),
@@ -61,38 +61,38 @@
 
 /// start runs the scheduler on threads of its own for the life of the process.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>, inputs: Receiver<Input>) -> std::io::Result<()> {
-    let (tasks, taken) = flume::unbounded();
+    let (operations, queue) = flume::unbounded();
     for number in 0..IO_THREADS {
         let daemon = Arc::clone(daemon);
-        let taken: Receiver<Task> = taken.clone();
+        let queue: Receiver<Operation> = queue.clone();
         let thread = thread::Builder::new().name(format!("io-{number}"));
         thread.spawn(move || {
-            for task in taken {
-                let (target, event) = perform(&daemon, task);
+            for operation in queue {
+                let (target, event) = perform(&daemon, operation);
                 let _ = daemon.scheduler.send(Input::Event(target, event));
             }
         })?;
     }
-    let mut scheduler = Scheduler::new(Arc::clone(daemon), tasks);
+    let mut scheduler = Scheduler::new(Arc::clone(daemon), operations);
     let thread = thread::Builder::new().name("scheduler".to_owned());
     thread.spawn(move || scheduler.run(&inputs))?;
     Ok(())
 }
 
-fn perform<B: Backend>(daemon: &Daemon<B>, task: Task) -> (Target, Event) {
-    match task {
-        Task::Read(target, key) => {
+fn perform<B: Backend>(daemon: &Daemon<B>, operation: Operation) -> (Target, Event) {
+    match operation {
+        Operation::Read(target, key) => {
             daemon.metrics.store_reads.add(1, &[]);
             (target, Event::Read(key, daemon.backend.read(key)))
         }
-        Task::Swap(target, key, expect, page) => {
+        Operation::Swap(target, key, expect, page) => {
             daemon.metrics.store_swaps.add(1, &[]);
             (
                 target,
                 Event::Swapped(key, daemon.backend.swap(key, expect, &page)),
             )
         }
-        Task::Sync(target, worker, call) => {
+        Operation::Sync(target, worker, call) => {
             daemon.metrics.worker_calls.add(1, &[]);
             (target, Event::Synced(worker, sync(daemon, worker, &call)))
         }
@@ -110,20 +110,20 @@
 /// Scheduler drives the owners and placers of this daemon.
 struct Scheduler<B> {
     daemon: Arc<Daemon<B>>,
-    tasks: Sender<Task>,
+    operations: Sender<Operation>,
     owners: BTreeMap<Name, Owner>,
     placers: BTreeMap<u16, Placer>,
 }
 
 impl<B: Backend> Scheduler<B> {
-    fn new(daemon: Arc<Daemon<B>>, tasks: Sender<Task>) -> Scheduler<B> {
+    fn new(daemon: Arc<Daemon<B>>, operations: Sender<Operation>) -> Scheduler<B> {
         let options = daemon.settings.placer;
         let placers = (0..options.shards).map(|shard| (shard, Placer::new(shard, options)));
         Scheduler {
             placers: placers.collect(),
             owners: BTreeMap::new(),
             daemon,
-            tasks,
+            operations,
         }
     }
 
@@ -132,7 +132,7 @@
         loop {
             let wait = Duration::from_millis(next.since(clock::now()));
             match inputs.recv_timeout(wait) {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {
                     self.tick();
@@ -142,13 +142,13 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Event(Target::Rack(rack), event) => self.step_owner(rack, event),
             Input::Event(Target::Homes(shard), event) => self.step_placer(shard, event),
-            Input::Hint(hint) => self.hint(hint),
-            Input::Renounced(from, all) => {
-                for promise in all {
+            Input::Hint(hint) => self.handle_hint(hint),
+            Input::Renounced(from, promises) => {
+                for promise in promises {
                     if let Some(owner) = self.owners.get_mut(&promise.rack) {
                         owner.heard_renounced(from, promise.below);
                     }
@@ -161,7 +161,7 @@
         }
     }
 
-    fn hint(&mut self, hint: Hint) {
+    fn handle_hint(&mut self, hint: Hint) {
         match hint {
             Hint::Claims(Claims { rack, .. }) | Hint::TakenOver { rack, .. } => {
                 self.step_owner(rack, Event::Hint(hint));
@@ -198,7 +198,7 @@
             owner.step(clock::now(), event, &table, &mut writer)
         };
         for effect in effects {
-            self.act(Target::Rack(rack), effect);
+            self.execute(Target::Rack(rack), effect);
         }
     }
 
@@ -219,37 +219,37 @@
             placer.step(clock::now(), event, view, &mut writer)
         };
         for effect in effects {
-            self.act(Target::Homes(shard), effect);
+            self.execute(Target::Homes(shard), effect);
         }
     }
 
-    fn act(&mut self, target: Target, effect: Effect) {
-        let task = match effect {
-            Effect::Read(key) => Task::Read(target, key),
-            Effect::Swap(key, expect, page) => Task::Swap(target, key, expect, Box::new(page)),
-            Effect::Sync(worker, call) => Task::Sync(target, worker, call),
+    fn execute(&mut self, target: Target, effect: Effect) {
+        let operation = match effect {
+            Effect::Read(key) => Operation::Read(target, key),
+            Effect::Swap(key, expect, page) => Operation::Swap(target, key, expect, Box::new(page)),
+            Effect::Sync(worker, call) => Operation::Sync(target, worker, call),
             Effect::Hint(hint) => {
                 self.send_hint(hint);
                 return;
             }
             Effect::Note(note) => {
-                self.note(target, note);
+                self.log_note(target, note);
                 return;
             }
         };
-        let _ = self.tasks.send(task);
+        let _ = self.operations.send(operation);
     }
 
     /// send_hint sends a hint to the daemon that it concerns, or to all where
     /// that is not known.
     fn send_hint(&self, hint: Hint) {
-        let concerned = match &hint {
+        let recipient = match &hint {
             Hint::Claims(claims) => self.daemon.renewer(claims.rack),
             Hint::Ended { shard, .. } => self.daemon.placer(*shard),
             Hint::TakenOver { .. } | Hint::Holders => None,
         };
         let message = Request::Hint(hint.clone());
-        match concerned {
+        match recipient {
             Some(vm) if vm == self.daemon.me.vm => {}
             Some(vm) => {
                 let address = self.daemon.address(vm);
@@ -258,7 +258,7 @@
                 return;
             }
             None => {
-                let _ = self.daemon.tell_data_centre(&message);
+                let _ = self.daemon.broadcast(&message);
             }
         }
         let _ = self.daemon.scheduler.send(Input::Hint(hint));
@@ -275,39 +275,45 @@
         let renounced = self.owners.values().filter_map(Owner::renounced).collect();
         let changed = reports
             .iter()
-            .filter(|report| self.daemon.take_report(report))
+            .filter(|report| self.daemon.apply_report(report))
             .count()
             > 0;
         {
-            let mut own = lock(&self.daemon.own);
-            own.reports = reports;
-            own.renounced = renounced;
+            let mut announcement = lock(&self.daemon.announcement);
+            announcement.reports = reports;
+            announcement.renounced = renounced;
         }
         if changed {
             self.daemon.refresh_routes();
         }
     }
 
-    fn note(&self, target: Target, note: Note) {
+    fn log_note(&self, target: Target, note: Note) {
         let log = &self.daemon.log;
-        let count = |word| self.daemon.metrics.placements.add(1, &metrics::kind(word));
-        let task = |run: Run| format!("{:x}.{}.{}", run.task.job.0, run.task.index, run.attempt.0);
+        let count = |kind| {
+            self.daemon
+                .metrics
+                .placements
+                .add(1, &metrics::kind_label(kind))
+        };
+        let run_id =
+            |run: Run| format!("{:x}.{}.{}", run.task.job.0, run.task.index, run.attempt.0);
         match note {
             Note::Committed(run, worker) => {
                 count("committed");
-                info!(log, "place: run committed"; "run" => task(run), "worker" => %worker);
+                info!(log, "place: run committed"; "run" => run_id(run), "worker" => %worker);
             }
             Note::Ended(run, outcome) => {
                 count("ended");
-                info!(log, "place: run ended"; "run" => task(run), "outcome" => ?outcome);
+                info!(log, "place: run ended"; "run" => run_id(run), "outcome" => ?outcome);
             }
             Note::Claimed(run, worker) => {
                 count("claimed");
-                info!(log, "place: task claimed"; "run" => task(run), "worker" => %worker);
+                info!(log, "place: task claimed"; "run" => run_id(run), "worker" => %worker);
             }
             Note::Unplaced(run) => {
                 count("unplaced");
-                slog::debug!(log, "place: no worker has room"; "run" => task(run));
+                slog::debug!(log, "place: no worker has room"; "run" => run_id(run));
             }
             Note::TookOver(rack, term) => {
                 info!(log, "lease: rack taken over"; "rack" => %rack, "term" => term);
--- a/crates/stackpierd/src/settings.rs
+++ b/crates/stackpierd/src/settings.rs
@@ -79,8 +79,8 @@
 /// load reads and checks a settings file.
 pub fn load(path: &Path) -> Result<Settings> {
     let file = path.display();
-    let unread = |error| Error::new(Kind::BadInput, format!("{file}: not read: {error}"));
-    let bytes = std::fs::read(path).map_err(unread)?;
+    let read_error = |error| Error::new(Kind::BadInput, format!("{file}: not read: {error}"));
+    let bytes = std::fs::read(path).map_err(read_error)?;
     let raw = from_json::<Raw>(&bytes)
         .map_err(|error| Error::new(Kind::BadInput, format!("{file}: {}", error.message)))?;
     Settings::try_from(raw).map_err(|error| Error::new(Kind::BadInput, format!("{file}: {error}")))
--- a/crates/stackpierd/src/settings/check.rs
+++ b/crates/stackpierd/src/settings/check.rs
@@ -100,8 +100,8 @@
 }
 
 fn check_times(times: &RawTimes) -> Result<&RawTimes, Invalid> {
-    let ms = |field: &str, value: u64, least: u64, most: u64| {
-        within(&format!("times.{field}"), value, least..=most, "ms").map(|_| ())
+    let ms = |field: &str, value: u64, min: u64, max: u64| {
+        within(&format!("times.{field}"), value, min..=max, "ms").map(|_| ())
     };
     ms("head_ms", times.head_ms, 10, 600_000)?;
     ms("body_ms", times.body_ms, 10, 600_000)?;
@@ -153,11 +153,11 @@
         1.0..=1_000.0,
         "requests",
     )?;
-    let most = limits.upstream_start..=1_000.0;
+    let range = limits.upstream_start..=1_000.0;
     within(
         "limits.upstream_most",
         limits.upstream_most,
-        most,
+        range,
         "requests",
     )?;
     Ok(limits)
