--- a/crates/stackpierd/src/acceptance.rs
+++ b/crates/stackpierd/src/acceptance.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The I/O around the acceptance of an operator's change.
+//! The I/O for accepting an operator's change of an intent.
 
 use slog::info;
 use stackpier_coordination::accept::{Acceptance, Change, Next};
@@ -13,7 +13,8 @@
 };
 
 impl<B: Backend> Daemon<B> {
-    /// accept brings a change to its final answer.
+    /// accept writes a change to the store, if it is acceptable, and returns the
+    /// answer to the operator.
     pub fn accept(&self, change: Change) -> Result<Accepted> {
         let name = change.name();
         let shard = shard_of(name);
@@ -41,7 +42,7 @@
                     let result = answer
                         .as_ref()
                         .map_or_else(|e| e.kind.as_str(), |_| "accepted");
-                    info!(self.log, "config: change settled"; "name" => %name, "result" => result);
+                    info!(self.log, "config: change processed"; "name" => %name, "result" => result);
                     return answer;
                 }
             };
--- a/crates/stackpierd/src/backend.rs
+++ b/crates/stackpierd/src/backend.rs
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Everything outside the system, as one bound.
+//! The trait bound for the systems that the daemon calls.
 
 use stackpier_transport::platform::{Roster, Store, Worker};
 
-/// Backend is the platform and the workers together.
+/// Backend gives access to the platform, with its store and list of VMs, and to
+/// the workers.
 pub trait Backend: Store + Roster + Worker {}
 
 impl<B: Store + Roster + Worker> Backend for B {}
--- a/crates/stackpierd/src/clock.rs
+++ b/crates/stackpierd/src/clock.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The clocks of the process, the only place that reads them.
+//! The clocks that the other modules of the daemon read.
 
 use std::sync::LazyLock;
 
@@ -8,10 +8,10 @@
 
 pub use stackpier_transport::clock::unix;
 
-/// CLOCK has counted since about the start of the process.
+/// CLOCK counts from its first use, soon after the start of the process.
 static CLOCK: LazyLock<Steady> = LazyLock::new(|| Steady::new(Uptime));
 
-/// now returns the steady time since about the start of the process.
+/// now returns the monotonic time since about the start of the process.
 pub fn now() -> Millis {
     CLOCK.now()
 }
--- a/crates/stackpierd/src/daemon.rs
+++ b/crates/stackpierd/src/daemon.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the parts of a daemon share.
+//! The state that the parts of a daemon share.
 
 use std::{
     collections::BTreeMap,
@@ -24,14 +24,14 @@
     settings::Settings,
 };
 
-/// PEER_LIMIT bounds a message to another daemon.
+/// PEER_LIMIT is the time limit for a message to another daemon and its answer.
 pub const PEER_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// Daemon is the state shared by the parts of one daemon.
 pub struct Daemon<B> {
     /// The checked settings.
     pub settings: Settings,
-    /// This daemon.
+    /// This run of the daemon.
     pub me: Member,
     /// The platform and the workers.
     pub backend: B,
@@ -41,37 +41,38 @@
     pub log: Logger,
     /// The metrics.
     pub metrics: Metrics,
-    /// Who is there.
+    /// The VMs and daemons that are known, and which of them are live.
     pub table: Mutex<Table>,
     /// The accepted intents.
     pub catalogue: Mutex<Catalogue>,
     /// The newest report of each rack of the data centre.
     pub racks: Mutex<BTreeMap<Name, RackReport>>,
-    /// The reports and promises of this daemon's own racks.
+    /// What the heartbeats to other daemons tell about racks.
     pub announcement: Mutex<Announcement>,
-    /// The choice of upstreams.
+    /// The router, which chooses upstreams for requests.
     pub routing: Routing,
-    /// The records of keys that fall to this daemon.
+    /// The records of the request keys that this daemon holds.
     pub holder: Mutex<Holder>,
-    /// Numbers the writes to the store.
+    /// The numbering of writes to the store.
     pub writer: Mutex<Writer>,
-    /// The way to the scheduler.
+    /// The channel to the scheduler's thread.
     pub scheduler: Sender<Input>,
-    /// Whether another daemon knows a newer holder map.
+    /// Whether another daemon may know a newer holder map, so that the map must be
+    /// read again.
     pub holder_map_outdated: AtomicBool,
     stopping: AtomicBool,
 }
 
-/// Announcement is what this daemon says of racks.
+/// Announcement holds what this daemon tells other daemons about racks.
 #[derive(Clone, Debug, Default)]
 pub struct Announcement {
-    /// Reports of the racks it renews.
+    /// Reports of the racks whose leases it renews.
     pub reports: Vec<RackReport>,
-    /// Promises not to renew.
+    /// Promises not to renew a rack under terms below a given one.
     pub renounced: Vec<Renounced>,
 }
 
-/// Parts are what a daemon is made of.
+/// Parts are the values that a [`Daemon`] is built from.
 pub struct Parts<B> {
     /// The checked settings.
     pub settings: Settings,
@@ -83,18 +84,17 @@
     pub peers: Peers,
     /// The log.
     pub log: Logger,
-    /// The way to the scheduler.
+    /// The channel to the scheduler's thread.
     pub scheduler: Sender<Input>,
 }
 
-/// lock takes a mutex; a thread that panicked while it held one leaves plain
-/// data behind.
+/// lock locks a mutex, also when a thread panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl<B: Backend> Daemon<B> {
-    /// new puts the parts together.
+    /// new returns a daemon that knows no other VM yet.
     pub fn new(parts: Parts<B>) -> anyhow::Result<Daemon<B>> {
         let settings = parts.settings;
         let me = Member {
@@ -122,7 +122,7 @@
         })
     }
 
-    /// stopping tells whether a planned stop has begun.
+    /// is_stopping reports whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
@@ -133,20 +133,20 @@
         lock(&self.table).stop();
     }
 
-    /// address returns the peers' port of a VM, if the list names it.
+    /// address returns the address of a VM, if the list of VMs has it.
     pub fn address(&self, vm: Name) -> Option<SocketAddr> {
         let table = lock(&self.table);
         table.vm(vm).and_then(|vm| vm.address.parse().ok())
     }
 
-    /// call_daemon sends a message to a daemon and waits for the answer.
+    /// call_daemon sends a message to the daemon on a VM and waits for the answer.
     pub fn call_daemon(&self, vm: Name, request: &Request) -> Option<Response> {
         let address = self.address(vm)?;
         self.peers.call(address, request, PEER_LIMIT).ok()
     }
 
-    /// broadcast sends a message to all other daemons of the data centre and waits
-    /// for no answer.
+    /// broadcast sends a message to all other daemons of the data centre without
+    /// waiting for answers.
     pub fn broadcast(&self, request: &Request) -> Result<()> {
         for address in self.local_peers() {
             self.peers.send(address, request, PEER_LIMIT)?;
@@ -154,7 +154,8 @@
         Ok(())
     }
 
-    /// renewer returns the VM of the daemon that renews a rack, as reported.
+    /// renewer returns the VM of the daemon that renews a rack, according to the
+    /// rack's newest known report.
     pub fn renewer(&self, rack: Name) -> Option<Name> {
         lock(&self.racks).get(&rack).map(|report| report.renewer)
     }
@@ -166,7 +167,7 @@
         table.chosen(clock::now(), &item).map(|member| member.vm)
     }
 
-    /// local_peers returns the other daemons of the data centre.
+    /// local_peers returns the addresses of the other daemons of the data centre.
     pub fn local_peers(&self) -> Vec<SocketAddr> {
         let table = lock(&self.table);
         let here = table.data_centre();
@@ -174,7 +175,7 @@
         near.filter_map(|vm| vm.address.parse().ok()).collect()
     }
 
-    /// refresh_routes gives the router the upstreams that may get requests.
+    /// refresh_routes passes the endpoints on live workers to the router.
     pub fn refresh_routes(&self) {
         let mut endpoints: Vec<Endpoint> = Vec::new();
         {
@@ -190,8 +191,8 @@
         self.routing.update(&endpoints);
     }
 
-    /// apply_report takes a rack's report unless a newer one is known. It
-    /// returns whether it did.
+    /// apply_report stores a rack's report, unless this or a newer one is known,
+    /// and reports whether it did.
     pub fn apply_report(&self, report: &RackReport) -> bool {
         let mut racks = lock(&self.racks);
         let order = |report: &RackReport| (report.term, report.change);
--- a/crates/stackpierd/src/heartbeat.rs
+++ b/crates/stackpierd/src/heartbeat.rs
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Heartbeats to other daemons, and what is pulled from them when they know
-//! more.
+//! Heartbeats between daemons, fetching intents pages from daemons that have
+//! newer ones, and reading the platform's list of VMs.
 //!
-//! Every daemon of the own data centre gets each heartbeat; of each other
-//! data centre one daemon in turn does, so that the cost does not grow with
-//! the square of all daemons.
+//! Each heartbeat goes to all daemons of the own data centre, but to only one
+//! daemon of each other data centre, which changes from round to round. So the
+//! cost does not grow with the square of the number of all daemons.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,7 +28,7 @@
     scheduler::Input,
 };
 
-/// start sends heartbeats and reads the list on threads of their own.
+/// start starts the threads that send heartbeats and read the list of VMs.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>) -> std::io::Result<()> {
     let sending = Arc::clone(daemon);
     thread::Builder::new()
@@ -55,16 +55,18 @@
     Ok(())
 }
 
-/// time_to_next_read returns the time to the next full `list_ms` of the wall
-/// clock, so that the turns of several daemons follow each other.
+/// time_to_next_read returns the time until the wall clock reaches the next
+/// multiple of `list_ms`, so that all daemons agree on the intervals in which
+/// each of them reads the list.
 fn time_to_next_read(list_ms: u64) -> Duration {
     Duration::from_millis(list_ms - clock::unix().0 % list_ms)
 }
 
-/// should_read_list tells whether it is this daemon's turn to read the list. Together
-/// the daemons of a data centre read it once in `list_ms`, and heartbeats pass
-/// on the word of leaving workers. A daemon that could not read it does not
-/// wait for its turn.
+/// should_read_list reports whether this daemon reads the list of VMs in the
+/// current interval. The live daemons of a data centre take turns, one in each
+/// `list_ms`; heartbeats tell the others which workers are leaving. A daemon
+/// whose last read failed, or that does not count as live itself, reads in every
+/// interval.
 fn should_read_list<B: Backend>(daemon: &Daemon<B>) -> bool {
     let live = lock(&daemon.table).live(clock::now(), daemon.settings.data_centre);
     let reader = clock::unix().0 / daemon.settings.list_ms % live.len().max(1) as u64;
@@ -72,7 +74,8 @@
     index.is_none_or(|index| index as u64 == reader)
 }
 
-/// read_list reads the list and returns whether it was read.
+/// read_list reads the list of VMs from the platform and reports whether that
+/// succeeded.
 fn read_list<B: Backend>(daemon: &Daemon<B>) -> bool {
     match daemon.backend.list() {
         Ok(roster) => {
@@ -80,7 +83,7 @@
             true
         }
         Err(error) => {
-            debug!(daemon.log, "member: no list of VMs"; "why" => %error);
+            debug!(daemon.log, "member: list of VMs not read"; "why" => %error);
             if lock(&daemon.table).racks().is_empty() {
                 read_list_from_seeds(daemon);
             }
@@ -89,12 +92,13 @@
     }
 }
 
-/// read_list_from_seeds starts a fresh daemon from others while the platform is away.
+/// read_list_from_seeds takes the list of VMs from another daemon, so that a
+/// daemon can start while the platform does not answer.
 fn read_list_from_seeds<B: Backend>(daemon: &Daemon<B>) {
     for address in &daemon.settings.seeds {
         let answer = daemon.peers.call(*address, &Request::Roster, PEER_LIMIT);
         if let Ok(Response::Roster(roster)) = answer {
-            info!(daemon.log, "member: list of VMs from a peer"; "peer" => %address);
+            info!(daemon.log, "member: list of VMs read from a peer"; "peer" => %address);
             apply_list(daemon, roster);
             return;
         }
@@ -106,20 +110,22 @@
     daemon.refresh_routes();
 }
 
-/// Receipts is what other daemons have acknowledged of this daemon's reports.
+/// Receipts holds what each other daemon has acknowledged, so that a report is
+/// sent to it only until then.
 #[derive(Debug, Default)]
 struct Receipts {
     by_address: HashMap<SocketAddr, Receipt>,
 }
 
-/// Receipt is what one run of another daemon has of this one's reports.
+/// Receipt holds the versions of this daemon's rack reports that one run of
+/// another daemon has acknowledged.
 #[derive(Debug, Default)]
 struct Receipt {
     boot: Boot,
     racks: BTreeMap<Name, Version>,
 }
 
-/// Version names one state of a rack's report.
+/// Version identifies one state of a rack's report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Version {
     term: u64,
@@ -127,7 +133,7 @@
 }
 
 impl Receipts {
-    /// unacknowledged returns the reports that a daemon does not have yet.
+    /// unacknowledged returns the reports that a daemon has not acknowledged yet.
     fn unacknowledged(&self, address: SocketAddr, reports: &[RackReport]) -> Vec<RackReport> {
         let receipt = self.by_address.get(&address);
         let has = |report: &&RackReport| {
@@ -141,8 +147,8 @@
             .collect()
     }
 
-    /// record notes that a run of a daemon took these reports. An earlier
-    /// run's are forgotten, as the new one does not have them.
+    /// record stores that a run of a daemon acknowledged these reports. What an
+    /// earlier run acknowledged is dropped, as the new run does not have it.
     fn record(&mut self, address: SocketAddr, boot: Boot, reports: &[RackReport]) {
         let receipt = self.by_address.entry(address).or_default();
         if receipt.boot != boot {
@@ -165,7 +171,8 @@
     }
 }
 
-/// send_heartbeats sends one round of heartbeats and takes the replies.
+/// send_heartbeats sends one round of heartbeats and handles the replies. Only
+/// daemons of the own data centre get reports of racks.
 fn send_heartbeats<B: Backend>(daemon: &Daemon<B>, round: usize, receipts: &mut Receipts) {
     let (local, remote) = targets(daemon, round);
     let full = build_heartbeat(daemon, true);
@@ -198,7 +205,8 @@
     }
 }
 
-/// targets returns the daemons of the own data centre, and one of each other.
+/// targets returns the daemons of the own data centre, and one daemon of each
+/// other data centre.
 fn targets<B: Backend>(daemon: &Daemon<B>, round: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
     let table = lock(&daemon.table);
     let here = table.data_centre();
@@ -244,7 +252,7 @@
     }
 }
 
-/// pull_intents takes the intents pages of which a peer has a newer revision.
+/// pull_intents fetches the intents pages of which a peer has a newer revision.
 fn pull_intents<B: Backend>(daemon: &Daemon<B>, address: SocketAddr) {
     let Ok(Response::Digest(digest)) = daemon.peers.call(address, &Request::Digest, PEER_LIMIT)
     else {
@@ -265,17 +273,18 @@
 }
 
 impl<B: Backend> Daemon<B> {
-    /// apply_shard takes an intents page if it is newer than the known one.
+    /// apply_shard stores an intents page if it is newer than the known one. `from`
+    /// is the source that the log names.
     pub fn apply_shard(&self, page: ShardPage, from: &'static str) {
         let (shard, revision) = (page.shard, page.revision);
         let applied = lock(&self.catalogue).offer(shard, revision, page.page);
         if applied {
-            info!(self.log, "config: page in force";
+            info!(self.log, "config: intents page applied";
                 "shard" => shard, "revision" => revision.0, "from" => from);
         }
     }
 
-    /// handle_heartbeat serves another daemon's heartbeat.
+    /// handle_heartbeat applies another daemon's heartbeat and returns the reply.
     pub fn handle_heartbeat(&self, beat: &Heartbeat) -> HeartbeatReply {
         lock(&self.table).heard(clock::now(), beat);
         if beat.data_centre == self.settings.data_centre {
--- a/crates/stackpierd/src/holders.rs
+++ b/crates/stackpierd/src/holders.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The upkeep of the data centre's holder map: reading it, adding versions
-//! when daemons come and go, and acknowledging them.
+//! Maintenance of the data centre's holder map: reading it, adding a version when
+//! daemons start or stop, and acknowledging versions.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -23,15 +23,16 @@
     daemon::{Daemon, lock},
 };
 
-/// ROUND_PAUSE is the time between two looks.
+/// ROUND_PAUSE is the pause between two rounds of maintenance.
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
-/// MAX_READ_GAP_MS is the longest time between two reads of the page.
+/// MAX_READ_GAP_MS is the longest time between two reads of the page, in
+/// milliseconds.
 const MAX_READ_GAP_MS: u64 = 3_000;
-/// MIN_UNCHANGED_MS is how long the set of daemons must stay as it is before it
-/// becomes a version.
+/// MIN_UNCHANGED_MS is how long the set of live daemons must stay unchanged before
+/// it becomes a version, in milliseconds.
 const MIN_UNCHANGED_MS: u64 = 1_000;
 
-/// start keeps the map on a thread of its own.
+/// start starts the thread that maintains the map.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>) -> std::io::Result<()> {
     let daemon = Arc::clone(daemon);
     thread::Builder::new()
@@ -51,7 +52,7 @@
     Ok(())
 }
 
-/// Maintainer keeps the holder map in line with the live daemons.
+/// Maintainer updates the holder map to the set of live daemons.
 struct Maintainer<'a, B> {
     daemon: &'a Daemon<B>,
     read_at: Option<Millis>,
@@ -85,7 +86,8 @@
         lock(&daemon.holder).drop_old(oldest);
     }
 
-    /// has_unacknowledged tells whether this daemon has not acknowledged the newest version.
+    /// has_unacknowledged reports whether this daemon is a member of an earlier
+    /// version and has not yet acknowledged a later one.
     fn has_unacknowledged(&self, map: &Map) -> bool {
         let me = &self.daemon.me;
         let earlier = map.versions.iter().rev().skip(1);
@@ -107,7 +109,8 @@
         }
     }
 
-    /// fetch_from_peers lets a fresh daemon learn the map while the store is away.
+    /// fetch_from_peers gets the map from other daemons while the store does not
+    /// answer, if this daemon has none yet.
     fn fetch_from_peers(&self) {
         if lock(&self.daemon.holder).map().number() > 0 {
             return;
@@ -125,8 +128,8 @@
 
     fn revise(&self, revision: Revision, map: Map, may_renew: bool) {
         let daemon = self.daemon;
-        // From here on nothing is granted under an earlier version, so the
-        // acknowledgement below is true when it is written.
+        // From here on this daemon grants no key under an earlier version. So the
+        // acknowledgement below, which states this, is true when it is written.
         lock(&daemon.holder).learn(map.clone());
         let mut next = map.clone();
         if may_renew {
@@ -158,7 +161,8 @@
         }
     }
 
-    /// acknowledge_gone notes members that are proven to be over.
+    /// acknowledge_gone acknowledges the version in the name of members that are
+    /// known to have ended for good.
     fn acknowledge_gone(&self, next: &mut Map, number: u64) {
         let members: Vec<Member> = {
             let table = lock(&self.daemon.table);
--- a/crates/stackpierd/src/intents.rs
+++ b/crates/stackpierd/src/intents.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! How the accepted intents reach this daemon from the store: a watch on the
-//! index, and a slow poll of one page after the other. Peers are the third
-//! way, see [`crate::heartbeat`].
+//! Reading the accepted intents from the store. A watch on the index shows which
+//! pages changed, and a slow poll reads one page after the other in case the
+//! watch missed a change. Pages also come from peers, see [`crate::heartbeat`].
 
 use std::{sync::Arc, thread, time::Duration};
 
@@ -17,15 +17,17 @@
     daemon::{Daemon, lock},
 };
 
-/// WATCH_MS is how long one watch waits.
+/// WATCH_MS is how long one watch waits for a change, in milliseconds.
 const WATCH_MS: u64 = 10_000;
-/// WATCH_PAUSE is the shortest time between two looks at the index.
+/// WATCH_PAUSE is the pause after each watch, which bounds how often the index is
+/// read.
 const WATCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// MAX_BUMP_ATTEMPTS is how often a bump of the index is tried against racing ones.
+/// MAX_BUMP_ATTEMPTS bounds how often an update of the index is tried when
+/// concurrent updates by other daemons win.
 const MAX_BUMP_ATTEMPTS: usize = 8;
 
-/// start watches and polls on threads of their own.
+/// start starts the threads that watch the index and poll the intents pages.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>) -> std::io::Result<()> {
     let watching = Arc::clone(daemon);
     thread::Builder::new()
@@ -52,7 +54,7 @@
     Ok(())
 }
 
-/// Seen is the index that all pages were read by.
+/// Seen holds the last index of which all changed pages were read.
 #[derive(Default)]
 struct Seen {
     revision: Revision,
@@ -74,8 +76,8 @@
             .iter()
             .filter(|shard| read_shard(daemon, **shard))
             .count();
-        // A page that was not read is still owed, so the index counts as seen
-        // only when all were.
+        // If a page was not read, the old index stays, so that the next watch
+        // returns at once and the page is read again.
         if read == changed.len() {
             *seen = Seen { revision, index };
         }
@@ -88,7 +90,8 @@
     }
 }
 
-/// read_shard reads one intents page and returns whether the store answered.
+/// read_shard reads one intents page and reports whether the store gave a valid
+/// answer.
 fn read_shard<B: Backend>(daemon: &Daemon<B>, shard: u16) -> bool {
     daemon.metrics.store_reads.add(1, &[]);
     match daemon.backend.read(Key::Intents(shard)) {
@@ -107,8 +110,8 @@
 }
 
 impl<B: Backend> Daemon<B> {
-    /// bump_index tells the watches of all daemons that a shard changed. It is
-    /// only a hint, so a failure is left to the polls.
+    /// bump_index marks a shard as changed in the index, which all daemons watch.
+    /// This only speeds them up: if it fails, their polls find the change.
     pub fn bump_index(&self, shard: u16) {
         for _ in 0..MAX_BUMP_ATTEMPTS {
             let (revision, mut index) = match self.backend.read(Key::Index) {
--- a/crates/stackpierd/src/lib.rs
+++ b/crates/stackpierd/src/lib.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The daemon of an entry VM: a shell of I/O around the decisions in
-//! `stackpier-coordination`.
+//! The daemon of an entry VM. It does the I/O; `stackpier-coordination` makes
+//! the decisions.
 
 pub mod acceptance;
 pub mod backend;
--- a/crates/stackpierd/src/logging.rs
+++ b/crates/stackpierd/src/logging.rs
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The log: `slog`, one line for each decision, each part with its prefix.
+//! Logging with `slog`: one line for each decision, which begins with the name
+//! of the part of the daemon that made it.
 
 use slog::{Drain, Logger, o};
 
 use crate::settings::{Format, Log, Settings};
 
-/// MAX_WAITING_LINES is how many lines may wait to be written; more are dropped and
-/// counted in a line of their own.
+/// MAX_WAITING_LINES is the number of lines that may wait to be written. Further
+/// ones are dropped; a line of the log tells how many.
 const MAX_WAITING_LINES: usize = 16_384;
 
-/// build_logger builds the daemon's log. The guard writes out what waits when it is
-/// dropped.
+/// build_logger returns the daemon's logger, and a guard that writes the waiting
+/// lines when it is dropped.
 pub fn build_logger(settings: &Settings) -> (Logger, slog_async::AsyncGuard) {
     let Log { format, level } = settings.log;
     let (drain, guard) = match format {
--- a/crates/stackpierd/src/main.rs
+++ b/crates/stackpierd/src/main.rs
@@ -45,11 +45,11 @@
   stackpierd --help
 ";
 
-/// BOOT_RANDOM_BITS are the low bits of a boot, random so that two daemons
-/// started in the same millisecond differ.
+/// BOOT_RANDOM_BITS is the number of random low bits of a boot. They keep the
+/// boots of two daemons that start in the same millisecond apart.
 const BOOT_RANDOM_BITS: u32 = 20;
 
-/// Command is what the command line asks for.
+/// Command is the action selected on the command line.
 enum Command {
     Run(PathBuf),
     Check(PathBuf),
@@ -125,14 +125,17 @@
     Ok(())
 }
 
-/// generate_boot names this run: later runs on a VM have higher ones.
+/// generate_boot returns an identifier for this run of the daemon. Later runs on
+/// the same VM get higher ones.
 fn generate_boot() -> Boot {
     let random: u64 = rand::rng().random_range(0..1 << BOOT_RANDOM_BITS);
     Boot((clock::unix().0 << BOOT_RANDOM_BITS) | random)
 }
 
-/// stop_on_signal turns SIGTERM and SIGINT into a planned stop: not ready,
-/// racks given up, requests in service finished within the grace time.
+/// stop_on_signal starts a thread that makes a planned stop on SIGTERM or
+/// SIGINT: the daemon reports that it is not ready and gives up its racks. After
+/// two heartbeats, which announce the stop, it closes the callers' port.
+/// Requests in service may finish within the grace time; then the process exits.
 fn stop_on_signal(daemon: &Arc<Daemon<Client>>, gate: &Gate) -> Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let daemon = Arc::clone(daemon);
@@ -152,7 +155,7 @@
             gate.close();
             let grace = Duration::from_millis(daemon.settings.grace_ms);
             thread::sleep(grace.saturating_sub(started.elapsed()));
-            info!(daemon.log, "daemon: grace time is over");
+            info!(daemon.log, "daemon: grace time expired");
             std::process::exit(1);
         })?;
     Ok(())
--- a/crates/stackpierd/src/metrics.rs
+++ b/crates/stackpierd/src/metrics.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the daemon counts and measures.
+//! The metrics of the daemon.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -17,14 +17,14 @@
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
-/// Metrics are the instruments of one daemon.
+/// Metrics holds the instruments of one daemon.
 pub struct Metrics {
     instruments: Instruments,
     /// Answers to callers, by kind.
     pub answers: Counter<u64>,
     /// Time from a request's arrival to its answer, in seconds.
     pub latency: Histogram<f64>,
-    /// Requests sent to another upstream again.
+    /// Requests sent again, to another upstream.
     pub retries: Counter<u64>,
     /// Reads of the store.
     pub store_reads: Counter<u64>,
@@ -32,7 +32,7 @@
     pub store_swaps: Counter<u64>,
     /// Calls to workers.
     pub worker_calls: Counter<u64>,
-    /// Decisions of placement, by word.
+    /// Decisions of placement, by kind.
     pub placements: Counter<u64>,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// register_peer_counters registers the counts that the peer transport keeps.
+/// register_peer_counters registers the counters that the peer transport keeps.
 fn register_peer_counters(meter: &Meter, peers: &Peers) {
     let register = |name: &'static str, count: fn(&Counters) -> &AtomicU64| {
         let peers = peers.clone();
@@ -82,7 +82,7 @@
     });
 }
 
-/// kind returns the label that tells counts apart.
+/// kind_label returns the label `kind` of a metric.
 pub fn kind_label(kind: &'static str) -> [KeyValue; 1] {
     [KeyValue::new("kind", kind)]
 }
--- a/crates/stackpierd/src/operators.rs
+++ b/crates/stackpierd/src/operators.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What this daemon answers to operators.
+//! The HTTP service for operators: intents, status, health and metrics.
 
 use std::sync::Arc;
 
@@ -25,13 +25,13 @@
     daemon::{Daemon, lock},
 };
 
-/// Operators is the service behind the operators' port.
+/// Operators serves requests on the operators' port.
 pub struct Operators<B> {
     daemon: Arc<Daemon<B>>,
 }
 
 impl<B: Backend> Operators<B> {
-    /// new serves operators of a daemon.
+    /// new returns the service of a daemon.
     pub fn new(daemon: Arc<Daemon<B>>) -> Operators<B> {
         Operators { daemon }
     }
@@ -95,8 +95,8 @@
                 ));
             }
         };
-        let homes = page.homes.iter().filter(|home| home.work.task.job == job);
-        tasks.extend(homes.map(|home| self.task_status(home, data_centre)));
+        let job_homes = page.homes.iter().filter(|home| home.work.task.job == job);
+        tasks.extend(job_homes.map(|home| self.task_status(home, data_centre)));
         Ok(())
     }
 
@@ -116,7 +116,8 @@
         endpoints.any(|endpoint| endpoint.run == run)
     }
 
-    /// check_ready tells the platform's balancer whether to send callers here.
+    /// check_ready answers the platform's load balancer whether to send callers to
+    /// this daemon.
     fn check_ready(&self) -> Result<Reply> {
         if self.daemon.is_stopping() {
             return Err(Error::new(Kind::Stopping, "this entry VM is stopping"));
--- a/crates/stackpierd/src/peers.rs
+++ b/crates/stackpierd/src/peers.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What this daemon answers to messages of other daemons.
+//! The service for messages of other daemons.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -16,13 +16,13 @@
     scheduler::Input,
 };
 
-/// Peers is the service behind the peers' port.
+/// Peers serves messages on the peers' port.
 pub struct Peers<B> {
     daemon: Arc<Daemon<B>>,
 }
 
 impl<B: Backend> Peers<B> {
-    /// new serves the other daemons.
+    /// new returns the service of a daemon.
     pub fn new(daemon: Arc<Daemon<B>>) -> Peers<B> {
         Peers { daemon }
     }
--- a/crates/stackpierd/src/pool.rs
+++ b/crates/stackpierd/src/pool.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Threads that wait for upstreams, so that a caller's thread can give up at
-//! its deadline and the slot is still given back when the answer comes.
+//! A pool of threads that wait for the answers of upstreams. A caller's thread
+//! can give up at its deadline, and the slot at the upstream is still released
+//! when the answer comes.
 
 use std::{
     sync::{
@@ -12,13 +13,13 @@
 
 use flume::{Receiver, Sender};
 
-/// Job is a piece of blocking work.
+/// Job is a blocking operation for a thread of a [`Pool`].
 pub trait Job: Send + 'static {
-    /// run does the work.
+    /// run carries out the job.
     fn run(self);
 }
 
-/// Pool runs jobs on threads that it starts as they are needed.
+/// Pool runs jobs on threads. It starts a new one when none is idle.
 pub struct Pool<J> {
     queue: Sender<J>,
     jobs: Receiver<J>,
@@ -37,8 +38,8 @@
 }
 
 impl<J: Job> Pool<J> {
-    /// run hands a job to a thread. The count of jobs at once is bounded by
-    /// the callers' requests.
+    /// run queues a job for a thread. The pool sets no limit on concurrent jobs:
+    /// the limit on callers' requests bounds them.
     pub fn run(&self, job: J) {
         let reserved = self
             .idle
@@ -61,7 +62,7 @@
                 idle.fetch_add(1, Ordering::SeqCst);
             }
         });
-        // Without a new thread the job waits for one of those there are.
+        // If no thread can be started, the job waits for an existing one.
         drop(started);
     }
 }
--- a/crates/stackpierd/src/request.rs
+++ b/crates/stackpierd/src/request.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A caller's request from arrival to its one final answer.
+//! Serving a caller's request, from its arrival to the answer.
 
 mod call;
 mod dispatch;
@@ -20,7 +20,7 @@
     pool::Pool,
 };
 
-/// Callers is the service behind the callers' port.
+/// Callers serves requests on the callers' port.
 pub struct Callers<B: Backend> {
     daemon: Arc<Daemon<B>>,
     pool: Pool<Delivery<B>>,
@@ -28,7 +28,7 @@
 }
 
 impl<B: Backend> Callers<B> {
-    /// new serves callers of a daemon.
+    /// new returns the service of a daemon.
     pub fn new(daemon: Arc<Daemon<B>>) -> Callers<B> {
         Callers {
             daemon,
@@ -63,7 +63,7 @@
 }
 
 impl<B: Backend> Callers<B> {
-    /// answer brings a request to its answer.
+    /// answer checks a request, sends it to an upstream and returns the answer.
     fn answer(&self, arrived: Millis, raw: callers::Request) -> Result<Reply> {
         if self.daemon.is_stopping() {
             return Err(Error::new(Kind::Stopping, "this entry VM is stopping"));
--- a/crates/stackpierd/src/request/call.rs
+++ b/crates/stackpierd/src/request/call.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A caller's raw request, checked into a call.
+//! The check of a caller's request.
 
 use std::sync::Arc;
 
@@ -9,25 +9,26 @@
 };
 use stackpier_transport::{callers, platform::Request};
 
-/// MAX_DEADLINE_MS is the longest a caller may wait.
+/// MAX_DEADLINE_MS is the longest deadline a caller may set, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// Call is a caller's request, checked.
+/// Call is a checked request of a caller.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     /// The service.
     pub service: Name,
-    /// When the caller gives up.
+    /// The time at which the caller stops waiting.
     pub deadline: Millis,
     /// The key of a request that must not be repeated.
     pub key: Option<Key>,
-    /// Whether it is the caller's first attempt.
+    /// Whether the caller declares this as its first attempt with the key.
     pub first_attempt: bool,
-    /// What goes to an upstream.
+    /// The request to send to an upstream.
     pub request: Arc<Request>,
 }
 
-/// check turns a raw request into a call.
+/// check checks a request that arrived at this time. `default_ms` is the deadline
+/// of a request that names none.
 pub(super) fn check(arrived: Millis, raw: callers::Request, default_ms: u64) -> Result<Call> {
     let (service, path) = parse_target(&raw.path)?;
     let wait = match raw.header(DEADLINE_HEADER) {
@@ -92,7 +93,7 @@
 fn parse_key(text: &str) -> Result<Key> {
     Key::try_from(text).map_err(|_| {
         let error = invalid_value(KEY_HEADER, text, "a UUID of version 7");
-        // No daemon takes such a key, so no attempt with it can have run.
+        // No daemon accepts such a key, so no attempt with it can have run.
         Error::new(Kind::BadKey, error.message).with_ran(Ran::No)
     })
 }
--- a/crates/stackpierd/src/request/dispatch.rs
+++ b/crates/stackpierd/src/request/dispatch.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Sending a request to upstreams until it has a final answer.
+//! Sending a request to upstreams, with retries, until it has an answer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,15 +21,18 @@
 
 /// MAX_SENDS bounds how often one request is sent.
 const MAX_SENDS: usize = 4;
-/// MAX_KEPT_BODY is the largest body that is kept for repeats, in bytes; a
-/// repeat of a request with a larger answer is told that it may have run.
+/// MAX_KEPT_BODY is the largest answer body, in bytes, that is kept for repeats of
+/// a request. A repeat of a request with a larger one is answered that the request
+/// may have run.
 const MAX_KEPT_BODY: usize = 64 * 1024;
-/// OUTCOME_WAIT_MS is how long past the caller's deadline the outcome of a request
-/// that must not be repeated is waited for, so that a repeat learns it.
+/// OUTCOME_WAIT_MS is how long the daemon waits past the caller's deadline for the
+/// outcome of a request that must not be repeated, so that a repeat gets it.
 const OUTCOME_WAIT_MS: u64 = 10_000;
 
 impl<B: Backend> Callers<B> {
-    /// dispatch sends a request to upstreams until it has a final answer.
+    /// dispatch sends a request to one upstream after the other until one answers or
+    /// no further attempt is allowed. A request with a `grant` is not sent again
+    /// once it may have run.
     pub(super) fn dispatch(&self, call: &Call, grant: Option<OpenGrant>) -> Result<Reply> {
         let mut avoid: Vec<Name> = Vec::new();
         let mut last_error = Error::new(
@@ -55,7 +58,8 @@
                 Attempt::Whole(reply) => return Ok(reply),
                 Attempt::NotRun(error) => last_error = error,
                 Attempt::Unknown(error) => {
-                    // What may have run is sent again only if it may be repeated.
+                    // The request may have run, so it is sent again only if it
+                    // may be repeated.
                     if grant.is_some() || clock::now() >= call.deadline {
                         return Err(error);
                     }
@@ -65,7 +69,8 @@
         }
         if let Some(grant) = grant {
             self.daemon.finish_grant(grant, Record::NotRun);
-            // The holders have settled that no attempt with this key ran.
+            // No earlier attempt with this key ran, or the holders would not have
+            // granted it, and none of those above did.
             return Err(last_error.with_ran(Ran::No));
         }
         Err(last_error)
@@ -97,7 +102,7 @@
         }
     }
 
-    /// send sends a request once and waits until the deadline.
+    /// send sends a request once and waits for the outcome until the deadline.
     fn send(&self, call: &Call, slot: Slot, grant: Option<OpenGrant>) -> Attempt {
         let (reply, answered) = flume::bounded(1);
         self.pool.run(Delivery {
@@ -120,7 +125,7 @@
     }
 }
 
-/// Attempt is the outcome of sending once.
+/// Attempt is the outcome of sending a request once.
 enum Attempt {
     Whole(Reply),
     NotRun(Error),
@@ -141,8 +146,9 @@
     Attempt::Unknown(Error::new(Kind::OutcomeUnknown, text))
 }
 
-/// Delivery waits for one upstream's answer, past the caller's deadline if need
-/// be, gives the slot back and tells the holder.
+/// Delivery sends a request to one upstream and waits for its answer, past the
+/// caller's deadline if the request has a grant. Then it releases the slot and
+/// reports the outcome to the key's holder.
 pub(super) struct Delivery<B: Backend> {
     daemon: Arc<Daemon<B>>,
     call: Call,
@@ -163,7 +169,7 @@
         if let (Some(grant), Some(record)) = (self.grant, to_record(&sent)) {
             self.daemon.finish_grant(grant, record);
         }
-        // The caller may have given up; then nobody listens.
+        // This fails if the caller's thread has given up at the deadline.
         let _ = self.reply.send(to_attempt(sent));
     }
 }
@@ -205,8 +211,9 @@
     }
 }
 
-/// to_record returns what the holder is told. A request that was not run stays
-/// granted, as it may be sent to another upstream.
+/// to_record returns the outcome to report to the key's holder. There is none
+/// for a request that was not run: its key stays granted, as the request may be
+/// sent to another upstream.
 fn to_record(sent: &Sent) -> Option<Record> {
     match sent {
         Sent::Whole(reply) if reply.body.len() > MAX_KEPT_BODY => Some(Record::Unknown),
--- a/crates/stackpierd/src/request/keyed.rs
+++ b/crates/stackpierd/src/request/keyed.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Requests that must not be repeated: asking the holders of a key before the
-//! request is sent, and telling them its outcome.
+//! Requests that must not be repeated. The daemon asks the holders of the
+//! request's key before it sends the request, and reports the outcome to them.
 
 use std::{sync::atomic::Ordering, thread, time::Duration};
 
@@ -22,28 +22,29 @@
     daemon::{Daemon, lock},
 };
 
-/// MAX_ROUNDS bounds how often the holders are asked anew while the maps of
-/// daemons are out of step.
+/// MAX_ROUNDS bounds how often the holders are asked about one request while
+/// daemons have different versions of the holder map.
 const MAX_ROUNDS: usize = 20;
-/// ROUND_PAUSE is the time between two rounds.
+/// ROUND_PAUSE is the pause between two rounds of asking the holders.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// IN_PROGRESS_PAUSE is the time between two looks at a key that is in progress.
+/// IN_PROGRESS_PAUSE is the pause before asking again about a key whose request is
+/// in progress.
 const IN_PROGRESS_PAUSE: Duration = Duration::from_millis(20);
 
-/// OpenGrant is a grant that must be finished at its holder.
+/// OpenGrant is a granted key whose outcome must be reported to the holder.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenGrant {
     /// The key.
     pub key: Key,
     /// The holder that granted it.
     pub holder: Member,
-    /// The try it was granted to.
+    /// The attempt it was granted to.
     pub by: Grantee,
 }
 
 impl<B: Backend> Callers<B> {
-    /// dispatch_once sends a request that must not be repeated, if the holder
-    /// of its key allows.
+    /// dispatch_once sends a request that must not be repeated, if the holder of its
+    /// key allows it. It waits while another attempt with the key is in progress.
     pub(super) fn dispatch_once(&self, call: &Call, key: Key) -> Result<Reply> {
         let options = self.daemon.settings.once;
         let checked = options.check(key, clock::unix());
@@ -67,8 +68,9 @@
         }
     }
 
-    /// decide asks the holders until the key is decided. Daemons whose maps are
-    /// out of step learn from each other between rounds.
+    /// decide asks the holders until they agree on what to do with the request.
+    /// Daemons with different versions of the holder map get the newer one between
+    /// rounds.
     fn decide(&self, call: &Call, key: Key) -> (Verdict, Grantee) {
         let mut rounds = 0;
         loop {
@@ -89,8 +91,8 @@
         }
     }
 
-    /// try_decide asks the holders once. It also tells whether some holder
-    /// went by another map.
+    /// try_decide asks the holders once. It also reports whether a holder has
+    /// another version of the map.
     fn try_decide(&self, call: &Call, key: Key, by: Grantee) -> (Verdict, bool) {
         let map = lock(&self.daemon.holder).map().clone();
         let data_centres = lock(&self.daemon.table).data_centres();
@@ -127,7 +129,8 @@
 }
 
 impl<B: Backend> Daemon<B> {
-    /// call_holder asks the holder of a key, which may be this daemon.
+    /// call_holder sends a message to the holder of a key, which may be this daemon,
+    /// and stores the newer map that the answer may hold.
     fn call_holder(&self, holder: Member, message: Message) -> Told {
         let response = match holder.boot == self.me.boot {
             true => Some(self.serve_as_holder(message)),
@@ -144,7 +147,7 @@
         }
     }
 
-    /// serve_as_holder serves a message to this daemon as a holder.
+    /// serve_as_holder handles a message to this daemon as the holder of a key.
     pub fn serve_as_holder(&self, message: Message) -> Response {
         let mut holder = lock(&self.holder);
         match message {
@@ -158,8 +161,8 @@
         }
     }
 
-    /// build_held_response passes on a holder's answer, and has the map read again where the
-    /// sender knew a newer one.
+    /// build_held_response wraps the answer of this daemon's holder. If the sender has
+    /// a newer map, the map is read again.
     fn build_held_response(&self, held: HolderAnswer) -> Response {
         if held == HolderAnswer::Behind {
             self.holder_map_outdated.store(true, Ordering::SeqCst);
@@ -167,8 +170,8 @@
         Response::Held(held)
     }
 
-    /// finish_grant tells the holder of a key its outcome. A lost word leaves the
-    /// key granted, which refuses repeats as in progress.
+    /// finish_grant reports the outcome of a request to the holder of its key. If the
+    /// report is lost, the key stays granted, and repeats are refused as in progress.
     pub(super) fn finish_grant(&self, grant: OpenGrant, record: Record) {
         let OpenGrant { key, holder, by } = grant;
         let message = Message::Finish(Finish { key, by, record });
@@ -179,7 +182,8 @@
         self.call_daemon(holder.vm, &message);
     }
 
-    /// seal_remotely has a key sealed in another data centre by any daemon there.
+    /// seal_remotely has a key sealed in another data centre, by the first daemon
+    /// there that answers.
     fn seal_remotely(&self, data_centre: Name, key: Key) -> Told {
         let daemons: Vec<Name> = {
             let table = lock(&self.table);
@@ -196,7 +200,7 @@
         Told::Silence
     }
 
-    /// seal_locally seals a key at all holders of this data centre.
+    /// seal_locally seals a key at all its holders in this data centre.
     pub fn seal_locally(&self, key: Key) -> Sealing {
         let map = lock(&self.holder).map().clone();
         let seals = once::seals(key, &map, self.settings.once);
@@ -209,8 +213,8 @@
     }
 }
 
-/// refuse_outside_window refuses a key whose time is out of the window. Only of a first
-/// attempt it is known that none before it ran.
+/// refuse_outside_window returns the error for a key whose time is outside of the
+/// window. Only for a first attempt is it known that no earlier one ran.
 fn refuse_outside_window(kind: Kind, first_attempt: bool) -> Error {
     let error = refusal(kind);
     match first_attempt {
--- a/crates/stackpierd/src/routing.rs
+++ b/crates/stackpierd/src/routing.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The router behind a lock, and the requests that wait for a slot.
+//! The router, shared by the callers' threads, and the requests that wait for a
+//! slot.
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
@@ -15,7 +16,7 @@
 
 use crate::{clock, daemon::lock};
 
-/// Routing hands out upstreams.
+/// Routing assigns slots at upstreams to requests.
 pub struct Routing {
     inner: Mutex<Inner>,
 }
@@ -28,7 +29,7 @@
     next_ticket: u64,
 }
 
-/// Slot is a place at an upstream, which must be given back.
+/// Slot is the right to have one request at an upstream. It must be released.
 #[derive(Clone, Copy, Debug)]
 pub struct Slot {
     /// The service.
@@ -42,9 +43,10 @@
 /// Acquired is the outcome of asking for a slot.
 #[derive(Clone, Copy, Debug)]
 pub enum Acquired {
-    /// Use this one.
+    /// A slot.
     Slot(Slot),
-    /// The wait would pass the deadline; come back after this long.
+    /// The wait would pass the deadline; the caller may try again after this time,
+    /// in milliseconds.
     Shed(u64),
     /// The service has no upstream.
     NoUpstream,
@@ -53,7 +55,7 @@
 }
 
 impl Routing {
-    /// new starts with no upstream; `boot` seeds the random choices.
+    /// new returns a router without upstreams; `boot` seeds its random choices.
     pub fn new(options: Options, boot: Boot) -> Routing {
         Routing {
             inner: Mutex::new(Inner {
@@ -65,7 +67,8 @@
         }
     }
 
-    /// acquire asks for a slot and waits for one at most until the deadline.
+    /// acquire asks for a slot, if possible not at an upstream in `avoid`, and waits
+    /// for it until the deadline.
     pub fn acquire(&self, service: Name, deadline: Millis, avoid: &[Name]) -> Acquired {
         let (slot_sender, slot_receiver) = flume::bounded(1);
         let ticket = {
@@ -88,7 +91,7 @@
         let mut inner = lock(&self.inner);
         inner.waiting.remove(&ticket);
         inner.router.service(service).leave(deadline, ticket);
-        // A slot may have come between the time-out and the lock.
+        // A slot may have been assigned after the time-out and before the lock.
         if let Ok(slot) = slot_receiver.try_recv() {
             inner.router.service(service).cancel(slot.key);
             inner.assign_slots(service);
@@ -96,7 +99,7 @@
         Acquired::DeadlinePassed
     }
 
-    /// release gives a slot back with the outcome of its request.
+    /// release returns a slot with the outcome of its request.
     pub fn release(&self, slot: Slot, took_ms: u64, outcome: Outcome) {
         let mut inner = lock(&self.inner);
         let service = inner.router.service(slot.service);
@@ -104,12 +107,13 @@
         inner.assign_slots(slot.service);
     }
 
-    /// consume_retry takes a retry from the budget of a service.
+    /// consume_retry takes one retry from the budget of a service and reports whether
+    /// there was one.
     pub fn consume_retry(&self, service: Name) -> bool {
         lock(&self.inner).router.service(service).may_retry()
     }
 
-    /// update takes the endpoints there are now.
+    /// update replaces the known endpoints and assigns slots that have become free.
     pub fn update(&self, endpoints: &[Endpoint]) {
         let mut inner = lock(&self.inner);
         inner.router.update(endpoints);
@@ -119,7 +123,7 @@
         }
     }
 
-    /// count_upstreams returns the count of upstreams of a service.
+    /// count_upstreams returns the number of upstreams of a service.
     pub fn count_upstreams(&self, service: Name) -> usize {
         lock(&self.inner).router.service(service).len()
     }
@@ -147,7 +151,7 @@
         slot.map_or(Acquired::NoUpstream, Acquired::Slot)
     }
 
-    /// assign_slots gives free slots to the requests that wait.
+    /// assign_slots gives free slots to the waiting requests.
     fn assign_slots(&mut self, service: Name) {
         let state = self.router.service(service);
         for (ticket, key) in state.freed(clock::now(), &mut self.rng) {
--- a/crates/stackpierd/src/scheduler.rs
+++ b/crates/stackpierd/src/scheduler.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The thread that drives the owners of racks and the placers of homes, and
-//! the threads that do their I/O.
+//! The thread that runs the state machines of this daemon, which own racks and
+//! place homes, and the threads that do their I/O.
 
 use std::{collections::BTreeMap, sync::Arc, thread, time::Duration};
 
@@ -25,12 +25,13 @@
     metrics,
 };
 
-/// TICK is the time between two looks at the clock.
+/// TICK is the time between two [`Event::Tick`]s. A tick that is due waits until no
+/// input is queued.
 const TICK: Duration = Duration::from_millis(100);
-/// IO_THREADS is the count of threads for store and worker calls.
+/// IO_THREADS is the number of threads for calls to the store and to workers.
 const IO_THREADS: usize = 12;
 
-/// Target is the machine an event is for.
+/// Target identifies the state machine that an event is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// The owner of a rack.
@@ -39,27 +40,28 @@
     Homes(u16),
 }
 
-/// Input is what the scheduler's thread is told.
+/// Input is a message to the scheduler's thread.
 #[derive(Debug)]
 pub enum Input {
-    /// The outcome of an effect.
+    /// The outcome of an effect, for the state machine that asked for it.
     Event(Target, Event),
-    /// A page changed.
+    /// A hint that a page changed.
     Hint(Hint),
-    /// Another daemon promises not to renew racks.
+    /// Promises of another daemon not to renew racks.
     Renounced(Member, Vec<Renounced>),
     /// Give up all racks, for a planned stop.
     GiveUp,
 }
 
-/// Operation is a piece of I/O for one machine.
+/// Operation is a blocking call to the store or a worker for one state machine.
 enum Operation {
     Read(Target, Key),
     Swap(Target, Key, Revision, Box<Page>),
     Sync(Target, Name, Call),
 }
 
-/// start runs the scheduler on threads of its own for the life of the process.
+/// start starts the scheduler's thread and the I/O threads. They run until the
+/// process exits.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>, inputs: Receiver<Input>) -> std::io::Result<()> {
     let (operations, queue) = flume::unbounded();
     for number in 0..IO_THREADS {
@@ -107,7 +109,8 @@
     daemon.backend.sync(&address?, call)
 }
 
-/// Scheduler drives the owners and placers of this daemon.
+/// Scheduler passes inputs to the owners and placers of this daemon and carries
+/// out their effects.
 struct Scheduler<B> {
     daemon: Arc<Daemon<B>>,
     operations: Sender<Operation>,
@@ -240,8 +243,9 @@
         let _ = self.operations.send(operation);
     }
 
-    /// send_hint sends a hint to the daemon that it concerns, or to all where
-    /// that is not known.
+    /// send_hint sends a hint to the daemon that it concerns, or to all daemons of
+    /// the data centre if that one is not known. This daemon handles the hint, too,
+    /// unless it concerns only another one.
     fn send_hint(&self, hint: Hint) {
         let recipient = match &hint {
             Hint::Claims(claims) => self.daemon.renewer(claims.rack),
@@ -264,7 +268,8 @@
         let _ = self.daemon.scheduler.send(Input::Hint(hint));
     }
 
-    /// publish hands the reports of own racks to the rest of the daemon.
+    /// publish makes the reports and promises of the owners available to the
+    /// heartbeats and the router.
     fn publish(&self) {
         let reports: Vec<RackReport> = self
             .owners
@@ -313,7 +318,7 @@
             }
             Note::Unplaced(run) => {
                 count("unplaced");
-                slog::debug!(log, "place: no worker has room"; "run" => run_id(run));
+                slog::debug!(log, "place: no worker has free capacity"; "run" => run_id(run));
             }
             Note::TookOver(rack, term) => {
                 info!(log, "lease: rack taken over"; "rack" => %rack, "term" => term);
@@ -327,10 +332,10 @@
                     "action" => ?action, "worker" => %worker);
             }
             Note::Lapsed(worker) => {
-                info!(log, "lease: lease lapsed"; "worker" => %worker, "target" => ?target);
+                info!(log, "lease: worker's lease expired"; "worker" => %worker, "target" => ?target);
             }
             Note::Rebooted(worker) => {
-                info!(log, "lease: worker has a new boot"; "worker" => %worker);
+                info!(log, "lease: worker restarted"; "worker" => %worker);
             }
         }
     }
--- a/crates/stackpierd/src/settings.rs
+++ b/crates/stackpierd/src/settings.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The daemon's settings: raw JSON checked into types. `docs/CONFIGURATION.md`
-//! describes each.
+//! The daemon's settings, read from a JSON file and checked.
+//! `docs/CONFIGURATION.md` describes each.
 
 mod check;
 mod raw;
@@ -14,21 +14,21 @@
 
 use raw::Raw;
 
-/// Format is how log lines are written.
+/// Format is the format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For people.
+    /// Text for reading in a terminal.
     Terminal,
 }
 
-/// Log is how the daemon logs.
+/// Log holds the settings of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct Log {
     /// Format of lines.
     pub format: Format,
-    /// Lowest level that is written.
+    /// The lowest level that is written.
     pub level: slog::Level,
 }
 
@@ -47,12 +47,12 @@
     pub peers: SocketAddr,
     /// Address of the platform.
     pub platform: SocketAddr,
-    /// Peers' ports of other daemons, asked at the start when the platform
-    /// does not answer.
+    /// Peers' ports of other daemons. A starting daemon asks them for the list of
+    /// VMs when the platform does not answer.
     pub seeds: Vec<SocketAddr>,
     /// Logging.
     pub log: Log,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub caller_options: callers::Options,
     /// Deadline of a request that names none, in milliseconds.
     pub deadline_ms: u64,
@@ -68,18 +68,20 @@
     pub once: once::Options,
     /// Time between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Time between two looks at the list of VMs, in milliseconds.
+    /// Time between two reads of the list of VMs by the daemons of a data centre
+    /// together, in milliseconds.
     pub list_ms: u64,
     /// Time between two polls of an intents page, in milliseconds.
     pub poll_ms: u64,
-    /// Longest time a planned stop waits for requests, in milliseconds.
+    /// Longest time that a planned stop waits for requests in service, in
+    /// milliseconds.
     pub grace_ms: u64,
 }
 
 /// load reads and checks a settings file.
 pub fn load(path: &Path) -> Result<Settings> {
     let file = path.display();
-    let read_error = |error| Error::new(Kind::BadInput, format!("{file}: not read: {error}"));
+    let read_error = |error| Error::new(Kind::BadInput, format!("{file}: cannot be read: {error}"));
     let bytes = std::fs::read(path).map_err(read_error)?;
     let raw = from_json::<Raw>(&bytes)
         .map_err(|error| Error::new(Kind::BadInput, format!("{file}: {}", error.message)))?;
--- a/crates/stackpierd/src/settings/check.rs
+++ b/crates/stackpierd/src/settings/check.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The check of the settings file, and the options made of it.
+//! The check of the settings file, and the options built from it.
 
 use std::net::SocketAddr;
 
--- a/crates/stackpierd/src/settings/raw.rs
+++ b/crates/stackpierd/src/settings/raw.rs
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The settings file as written, with its defaults.
+//! The settings file before the check, with the defaults.
 
 use serde::Deserialize;
 use stackpier_coordination::{membership, once, owner, placer, policy, route};
 use stackpier_transport::callers;
 
-/// Raw is the settings file as written.
+/// Raw holds the settings file before the check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Raw {
@@ -37,7 +37,7 @@
     placer::Options::default().shards
 }
 
-/// RawLog is how the daemon should log, as written.
+/// RawLog holds the settings of the log before the check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct RawLog {
@@ -54,7 +54,7 @@
     }
 }
 
-/// RawLimits are the bounds on callers and upstreams, as written.
+/// RawLimits holds the limits on callers and upstreams before the check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct RawLimits {
@@ -83,7 +83,7 @@
     }
 }
 
-/// RawTimes are the times, in milliseconds, as written.
+/// RawTimes holds the times, in milliseconds, before the check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct RawTimes {
