--- a/crates/stackpierd/src/heartbeat.rs
+++ b/crates/stackpierd/src/heartbeat.rs
@@ -172,7 +172,7 @@
 }
 
 /// send_heartbeats sends one round of heartbeats and handles the replies. Only
-/// daemons of the own data centre get reports of racks.
+/// daemons of the own data centre get reports and promises on racks.
 fn send_heartbeats<B: Backend>(daemon: &Daemon<B>, round: usize, receipts: &mut Receipts) {
     let (local, remote) = targets(daemon, round);
     let full = build_heartbeat(daemon, true);
--- a/crates/stackpierd/src/request/keyed.rs
+++ b/crates/stackpierd/src/request/keyed.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Requests that must not be repeated. The daemon asks the holders of the
-//! request's key before it sends the request, and reports the outcome to them.
+//! request's key before it sends the request, and reports the outcome to the
+//! holder that granted the key.
 
 use std::{sync::atomic::Ordering, thread, time::Duration};
 
@@ -68,9 +69,9 @@
         }
     }
 
-    /// decide asks the holders until they agree on what to do with the request.
-    /// Daemons with different versions of the holder map get the newer one between
-    /// rounds.
+    /// decide asks the holders what to do with the request. It repeats the question
+    /// while daemons have different versions of the holder map; between rounds they
+    /// get the newest one from each other.
     fn decide(&self, call: &Call, key: Key) -> (Verdict, Grantee) {
         let mut rounds = 0;
         loop {
