--- a/crates/stackpierd/src/acceptance.rs
+++ b/crates/stackpierd/src/acceptance.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The I/O around the acceptance of an operator's change.
+//! The I/O for accepting an operator's change of an intent.
 
 use slog::info;
 use stackpier_coordination::accept::{Acceptance, Change, Next};
@@ -13,7 +13,8 @@
 };
 
 impl<B: Backend> Daemon<B> {
-    /// accept brings a change to its final answer.
+    /// accept writes a change to the store, if it is acceptable, and returns the
+    /// answer to the operator.
     pub fn accept(&self, change: Change) -> Result<Accepted> {
         let name = change.name();
         let shard = shard_of(name);
@@ -35,13 +36,13 @@
                             revision,
                             page,
                         };
-                        self.take_shard(page, "operator");
+                        self.apply_shard(page, "operator");
                         self.bump_index(shard);
                     }
-                    let word = answer
+                    let result = answer
                         .as_ref()
                         .map_or_else(|e| e.kind.as_str(), |_| "accepted");
-                    info!(self.log, "config: change settled"; "name" => %name, "result" => word);
+                    info!(self.log, "config: change processed"; "name" => %name, "result" => result);
                     return answer;
                 }
             };
--- a/crates/stackpierd/src/holders.rs
+++ b/crates/stackpierd/src/holders.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The upkeep of the data centre's holder map: reading it, adding versions
-//! when daemons come and go, and acknowledging them.
+//! Maintenance of the data centre's holder map: reading it, adding a version when
+//! daemons start or stop, and acknowledging versions.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -23,67 +23,72 @@
     daemon::{Daemon, lock},
 };
 
-/// PAUSE is the time between two looks.
-const PAUSE: Duration = Duration::from_millis(250);
-/// SWEEP_MS is the longest time between two reads of the page.
-const SWEEP_MS: u64 = 3_000;
-/// SETTLE_MS is how long the set of daemons must stay as it is before it
-/// becomes a version.
-const SETTLE_MS: u64 = 1_000;
+/// ROUND_PAUSE is the pause between two rounds of maintenance.
+const ROUND_PAUSE: Duration = Duration::from_millis(250);
+/// MAX_READ_GAP_MS is the longest time between two reads of the page, in
+/// milliseconds.
+const MAX_READ_GAP_MS: u64 = 3_000;
+/// MIN_UNCHANGED_MS is how long the set of live daemons must stay unchanged before
+/// it becomes a version, in milliseconds.
+const MIN_UNCHANGED_MS: u64 = 1_000;
 
-/// start keeps the map on a thread of its own.
+/// start starts the thread that maintains the map.
 pub fn start<B: Backend>(daemon: &Arc<Daemon<B>>) -> std::io::Result<()> {
     let daemon = Arc::clone(daemon);
     thread::Builder::new()
         .name("holders".to_owned())
         .spawn(move || {
-            let mut keeper = Keeper {
+            let mut maintainer = Maintainer {
                 daemon: &daemon,
-                read: None,
-                seen: Vec::new(),
-                since: Millis(0),
+                read_at: None,
+                live_members: Vec::new(),
+                unchanged_since: Millis(0),
             };
             loop {
-                keeper.round();
-                thread::sleep(PAUSE);
+                maintainer.run_round();
+                thread::sleep(ROUND_PAUSE);
             }
         })?;
     Ok(())
 }
 
-/// Keeper keeps the holder map in line with the live daemons.
-struct Keeper<'a, B> {
+/// Maintainer updates the holder map to the set of live daemons.
+struct Maintainer<'a, B> {
     daemon: &'a Daemon<B>,
-    read: Option<Millis>,
-    seen: Vec<Member>,
-    since: Millis,
+    read_at: Option<Millis>,
+    live_members: Vec<Member>,
+    unchanged_since: Millis,
 }
 
-impl<B: Backend> Keeper<'_, B> {
-    fn round(&mut self) {
+impl<B: Backend> Maintainer<'_, B> {
+    fn run_round(&mut self) {
         let now = clock::now();
         let daemon = self.daemon;
         let live = lock(&daemon.table).live(now, daemon.settings.data_centre);
-        if live != self.seen {
-            self.seen = live;
-            self.since = now;
+        if live != self.live_members {
+            self.live_members = live;
+            self.unchanged_since = now;
         }
-        let settled = now.since(self.since) >= SETTLE_MS;
+        let settled = now.since(self.unchanged_since) >= MIN_UNCHANGED_MS;
         let known = lock(&daemon.holder).map().clone();
-        let told = daemon.holders_due.swap(false, Ordering::SeqCst);
-        let due = told || self.read.is_none_or(|at| now.since(at) >= SWEEP_MS);
-        let keeps = lock(&daemon.table).preferred(now, "holders");
-        let differs = known.newest().map(|newest| &newest.members) != Some(&self.seen);
-        if due || (keeps && settled && differs) || self.owes(&known) {
-            self.read = Some(now);
-            self.update(keeps && settled);
+        let requested = daemon.holder_map_outdated.swap(false, Ordering::SeqCst);
+        let read_due = requested
+            || self
+                .read_at
+                .is_none_or(|at| now.since(at) >= MAX_READ_GAP_MS);
+        let is_responsible = lock(&daemon.table).preferred(now, "holders");
+        let differs = known.newest().map(|newest| &newest.members) != Some(&self.live_members);
+        if read_due || (is_responsible && settled && differs) || self.has_unacknowledged(&known) {
+            self.read_at = Some(now);
+            self.update(is_responsible && settled);
         }
         let oldest = daemon.settings.once.oldest(clock::unix());
         lock(&daemon.holder).drop_old(oldest);
     }
 
-    /// owes tells whether this daemon has not acknowledged the newest version.
-    fn owes(&self, map: &Map) -> bool {
+    /// has_unacknowledged reports whether this daemon is a member of an earlier
+    /// version and has not yet acknowledged a later one.
+    fn has_unacknowledged(&self, map: &Map) -> bool {
         let me = &self.daemon.me;
         let earlier = map.versions.iter().rev().skip(1);
         let open = |v: &stackpier_state::holders::Version| {
@@ -100,16 +105,17 @@
         {
             Fetched::Found(revision, Page::Holders(map)) => self.revise(revision, map, may_renew),
             Fetched::Absent => self.revise(ABSENT, Map::default(), may_renew),
-            Fetched::Found(..) | Fetched::Failed => self.ask_peers(),
+            Fetched::Found(..) | Fetched::Failed => self.fetch_from_peers(),
         }
     }
 
-    /// ask_peers lets a fresh daemon learn the map while the store is away.
-    fn ask_peers(&self) {
+    /// fetch_from_peers gets the map from other daemons while the store does not
+    /// answer, if this daemon has none yet.
+    fn fetch_from_peers(&self) {
         if lock(&self.daemon.holder).map().number() > 0 {
             return;
         }
-        for address in self.daemon.neighbours() {
+        for address in self.daemon.local_peers() {
             let answer = self
                 .daemon
                 .peers
@@ -122,12 +128,12 @@
 
     fn revise(&self, revision: Revision, map: Map, may_renew: bool) {
         let daemon = self.daemon;
-        // From here on nothing is granted under an earlier version, so the
-        // acknowledgement below is true when it is written.
+        // From here on this daemon grants no key under an earlier version. So the
+        // acknowledgement below, which states this, is true when it is written.
         lock(&daemon.holder).learn(map.clone());
         let mut next = map.clone();
         if may_renew {
-            next.renew(self.seen.clone());
+            next.renew(self.live_members.clone());
         }
         let now = clock::unix();
         let number = map.number();
@@ -144,18 +150,19 @@
             .backend
             .swap(key, revision, &Page::Holders(next.clone()));
         if let Swapped::Won(_) = swapped {
-            let grown = next.number() > number;
+            let version_added = next.number() > number;
             lock(&daemon.holder).learn(next);
-            if grown {
+            if version_added {
                 let version = number + 1;
                 info!(daemon.log, "member: holder map changed";
-                    "version" => version, "members" => self.seen.len());
-                let _ = daemon.tell_data_centre(&Request::Hint(Hint::Holders));
+                    "version" => version, "members" => self.live_members.len());
+                let _ = daemon.broadcast(&Request::Hint(Hint::Holders));
             }
         }
     }
 
-    /// acknowledge_gone notes members that are proven to be over.
+    /// acknowledge_gone acknowledges the version in the name of members that are
+    /// known to have ended for good.
     fn acknowledge_gone(&self, next: &mut Map, number: u64) {
         let members: Vec<Member> = {
             let table = lock(&self.daemon.table);
--- a/crates/stackpierd/src/request/keyed.rs
+++ b/crates/stackpierd/src/request/keyed.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Requests that must not be repeated: asking the holders of a key before the
-//! request is sent, and telling them its outcome.
+//! Requests that must not be repeated. The daemon asks the holders of the
+//! request's key before it sends the request, and reports the outcome to the
+//! holder that granted the key.
 
 use std::{sync::atomic::Ordering, thread, time::Duration};
 
@@ -22,42 +23,43 @@
     daemon::{Daemon, lock},
 };
 
-/// ASK_ROUNDS bounds how often the holders are asked anew while the maps of
-/// daemons are out of step.
-const ASK_ROUNDS: usize = 20;
-/// ASK_PAUSE is the time between two rounds.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
-/// JOIN_PAUSE is the time between two looks at a key that is in progress.
-const JOIN_PAUSE: Duration = Duration::from_millis(20);
+/// MAX_ROUNDS bounds how often the holders are asked about one request while
+/// daemons have different versions of the holder map.
+const MAX_ROUNDS: usize = 20;
+/// ROUND_PAUSE is the pause between two rounds of asking the holders.
+const ROUND_PAUSE: Duration = Duration::from_millis(50);
+/// IN_PROGRESS_PAUSE is the pause before asking again about a key whose request is
+/// in progress.
+const IN_PROGRESS_PAUSE: Duration = Duration::from_millis(20);
 
-/// Held is a grant that must be finished at its holder.
+/// OpenGrant is a granted key whose outcome must be reported to the holder.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Held {
+pub(super) struct OpenGrant {
     /// The key.
     pub key: Key,
     /// The holder that granted it.
     pub holder: Member,
-    /// The try it was granted to.
+    /// The attempt it was granted to.
     pub by: Grantee,
 }
 
 impl<B: Backend> Callers<B> {
-    /// dispatch_once sends a request that must not be repeated, if the holder
-    /// of its key allows.
+    /// dispatch_once sends a request that must not be repeated, if the holder of its
+    /// key allows it. It waits while another attempt with the key is in progress.
     pub(super) fn dispatch_once(&self, call: &Call, key: Key) -> Result<Reply> {
         let options = self.daemon.settings.once;
-        let in_time = options.check(key, clock::unix());
-        in_time.map_err(|kind| untimely(kind, call.first))?;
+        let checked = options.check(key, clock::unix());
+        checked.map_err(|kind| refuse_outside_window(kind, call.first_attempt))?;
         loop {
-            let (verdict, by) = self.settle(call, key);
+            let (verdict, by) = self.decide(call, key);
             match verdict {
                 Verdict::Run(holder) => {
-                    let held = Held { key, holder, by };
-                    return self.dispatch(call, Some(held));
+                    let grant = OpenGrant { key, holder, by };
+                    return self.dispatch(call, Some(grant));
                 }
                 Verdict::Repeat(reply) => return Ok(reply),
                 Verdict::Refuse(Kind::InProgress) if clock::now() < call.deadline => {
-                    thread::sleep(JOIN_PAUSE);
+                    thread::sleep(IN_PROGRESS_PAUSE);
                 }
                 Verdict::Refuse(kind) => {
                     info!(self.daemon.log, "route: key refused"; "key" => %key, "why" => kind.as_str());
@@ -67,31 +69,32 @@
         }
     }
 
-    /// settle asks the holders until the key is decided. Daemons whose maps are
-    /// out of step learn from each other between rounds.
-    fn settle(&self, call: &Call, key: Key) -> (Verdict, Grantee) {
+    /// decide asks the holders what to do with the request. It repeats the question
+    /// while daemons have different versions of the holder map; between rounds they
+    /// get the newest one from each other.
+    fn decide(&self, call: &Call, key: Key) -> (Verdict, Grantee) {
         let mut rounds = 0;
         loop {
-            let by = self.grantee();
-            let (verdict, out_of_step) = self.settle_round(call, key, by);
+            let by = self.new_grantee();
+            let (verdict, out_of_step) = self.try_decide(call, key, by);
             rounds += 1;
-            if !out_of_step || rounds >= ASK_ROUNDS || clock::now() >= call.deadline {
+            if !out_of_step || rounds >= MAX_ROUNDS || clock::now() >= call.deadline {
                 return (verdict, by);
             }
-            thread::sleep(ASK_PAUSE);
+            thread::sleep(ROUND_PAUSE);
         }
     }
 
-    fn grantee(&self) -> Grantee {
+    fn new_grantee(&self) -> Grantee {
         Grantee {
             boot: self.daemon.me.boot,
-            number: self.tries.fetch_add(1, Ordering::Relaxed),
+            number: self.next_number.fetch_add(1, Ordering::Relaxed),
         }
     }
 
-    /// settle_round asks the holders once. It also tells whether some holder
-    /// went by another map.
-    fn settle_round(&self, call: &Call, key: Key, by: Grantee) -> (Verdict, bool) {
+    /// try_decide asks the holders once. It also reports whether a holder has
+    /// another version of the map.
+    fn try_decide(&self, call: &Call, key: Key, by: Grantee) -> (Verdict, bool) {
         let map = lock(&self.daemon.holder).map().clone();
         let data_centres = lock(&self.daemon.table).data_centres();
         let data_centres: Vec<Name> = data_centres.into_iter().collect();
@@ -100,16 +103,16 @@
             data_centre: self.daemon.settings.data_centre,
             map: &map,
             data_centres: &data_centres,
-            first: call.first,
+            first: call.first_attempt,
         };
         let (mut once, mut progress) = Once::new(key, setting, self.daemon.settings.once);
         loop {
             match progress {
-                Progress::Ask(ask) => progress = once.tell(self.ask(&ask)),
+                Progress::Ask(ask) => progress = once.tell(self.perform(&ask)),
                 Progress::Decided(verdict, unused) => {
                     if let Some(holder) = unused {
-                        let held = Held { key, holder, by };
-                        self.daemon.finish(held, Record::NotRun);
+                        let grant = OpenGrant { key, holder, by };
+                        self.daemon.finish_grant(grant, Record::NotRun);
                     }
                     return (verdict, once.holder_mismatch());
                 }
@@ -117,21 +120,22 @@
         }
     }
 
-    fn ask(&self, ask: &Ask) -> Told {
+    fn perform(&self, ask: &Ask) -> Told {
         match ask {
-            Ask::Seal(holder, seal) => self.daemon.ask_holder(*holder, Message::Seal(*seal)),
-            Ask::Grant(holder, grant) => self.daemon.ask_holder(*holder, Message::Grant(*grant)),
-            Ask::There(data_centre, key) => self.daemon.ask_there(*data_centre, *key),
+            Ask::Seal(holder, seal) => self.daemon.call_holder(*holder, Message::Seal(*seal)),
+            Ask::Grant(holder, grant) => self.daemon.call_holder(*holder, Message::Grant(*grant)),
+            Ask::There(data_centre, key) => self.daemon.seal_remotely(*data_centre, *key),
         }
     }
 }
 
 impl<B: Backend> Daemon<B> {
-    /// ask_holder asks the holder of a key, which may be this daemon.
-    fn ask_holder(&self, holder: Member, message: Message) -> Told {
+    /// call_holder sends a message to the holder of a key, which may be this daemon,
+    /// and stores the newer map that the answer may hold.
+    fn call_holder(&self, holder: Member, message: Message) -> Told {
         let response = match holder.boot == self.me.boot {
-            true => Some(self.hold(message)),
-            false => self.ask(holder.vm, &message),
+            true => Some(self.serve_as_holder(message)),
+            false => self.call_daemon(holder.vm, &message),
         };
         match response {
             Some(Response::Held(held)) => {
@@ -144,12 +148,12 @@
         }
     }
 
-    /// hold serves a message to this daemon as a holder.
-    pub fn hold(&self, message: Message) -> Response {
+    /// serve_as_holder handles a message to this daemon as the holder of a key.
+    pub fn serve_as_holder(&self, message: Message) -> Response {
         let mut holder = lock(&self.holder);
         match message {
-            Message::Grant(grant) => self.held(holder.grant(grant)),
-            Message::Seal(seal) => self.held(holder.seal(seal)),
+            Message::Grant(grant) => self.build_held_response(holder.grant(grant)),
+            Message::Seal(seal) => self.build_held_response(holder.seal(seal)),
             Message::Finish(finish) => {
                 holder.finish(finish);
                 Response::Taken
@@ -158,47 +162,50 @@
         }
     }
 
-    /// held passes on a holder's answer, and has the map read again where the
-    /// sender knew a newer one.
-    fn held(&self, held: HolderAnswer) -> Response {
+    /// build_held_response wraps the answer of this daemon's holder. If the sender has
+    /// a newer map, the map is read again.
+    fn build_held_response(&self, held: HolderAnswer) -> Response {
         if held == HolderAnswer::Behind {
-            self.holders_due.store(true, Ordering::SeqCst);
+            self.holder_map_outdated.store(true, Ordering::SeqCst);
         }
         Response::Held(held)
     }
 
-    /// finish tells the holder of a key its outcome. A lost word leaves the
-    /// key granted, which refuses repeats as in progress.
-    pub(super) fn finish(&self, held: Held, record: Record) {
-        let Held { key, holder, by } = held;
+    /// finish_grant reports the outcome of a request to the holder of its key. If the
+    /// report is lost, the key stays granted, and repeats are refused as in progress.
+    pub(super) fn finish_grant(&self, grant: OpenGrant, record: Record) {
+        let OpenGrant { key, holder, by } = grant;
         let message = Message::Finish(Finish { key, by, record });
         if holder.boot == self.me.boot {
-            self.hold(message);
+            self.serve_as_holder(message);
             return;
         }
-        self.ask(holder.vm, &message);
+        self.call_daemon(holder.vm, &message);
     }
 
-    /// ask_there has a key sealed in another data centre by any daemon there.
-    fn ask_there(&self, data_centre: Name, key: Key) -> Told {
+    /// seal_remotely has a key sealed in another data centre, by the first daemon
+    /// there that answers.
+    fn seal_remotely(&self, data_centre: Name, key: Key) -> Told {
         let daemons: Vec<Name> = {
             let table = lock(&self.table);
             let there = table.peers().filter(|vm| vm.data_centre == data_centre);
             there.map(|vm| vm.name).collect()
         };
         for vm in daemons {
-            if let Some(Response::SealedThere(sealing)) = self.ask(vm, &Message::SealThere(key)) {
+            if let Some(Response::SealedThere(sealing)) =
+                self.call_daemon(vm, &Message::SealThere(key))
+            {
                 return Told::There(sealing);
             }
         }
         Told::Silence
     }
 
-    /// seal_here seals a key at all holders of this data centre.
-    pub fn seal_here(&self, key: Key) -> Sealing {
+    /// seal_locally seals a key at all its holders in this data centre.
+    pub fn seal_locally(&self, key: Key) -> Sealing {
         let map = lock(&self.holder).map().clone();
         let seals = once::seals(key, &map, self.settings.once);
-        let ask = |(holder, seal)| match self.ask_holder(holder, Message::Seal(seal)) {
+        let ask = |(holder, seal)| match self.call_holder(holder, Message::Seal(seal)) {
             Told::Held(held) => Some(held),
             Told::There(_) | Told::Silence => None,
         };
@@ -207,11 +214,11 @@
     }
 }
 
-/// untimely refuses a key whose time is out of the window. Only of a first
-/// attempt it is known that none before it ran.
-fn untimely(kind: Kind, first: bool) -> Error {
+/// refuse_outside_window returns the error for a key whose time is outside of the
+/// window. Only for a first attempt is it known that no earlier one ran.
+fn refuse_outside_window(kind: Kind, first_attempt: bool) -> Error {
     let error = refusal(kind);
-    match first {
+    match first_attempt {
         true => Error::new(Kind::BadKey, error.message),
         false => error,
     }
