--- a/crates/stackpier-fuzz/src/cell.rs
+++ b/crates/stackpier-fuzz/src/cell.rs
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A small world around the cell: workers, a store, and one owner after the
-//! other, with calls that are lost, late or answered out of order. Earlier
-//! owners go on acting until they learn of the later one.
+//! A simulation around the cell: workers, a store, and successive owners, with
+//! calls that are lost, late or answered out of order. A replaced owner goes on
+//! acting until it learns of its successor.
 //!
-//! The oracle watches the workers: no task has two runs at once, none starts
-//! after its noted end, before the steps it waits for, after as many failed
-//! runs as its queue allows, or beyond the number allowed on one worker.
+//! The oracle checks the workers: no task has two runs at once. No task starts
+//! after its end was acknowledged, before the steps that it depends on have
+//! ended, after as many failed runs as its queue allows, or on a worker that
+//! already runs as many tasks of its step as allowed.
 
 mod oracle;
-mod world;
+mod simulation;
 
-pub use oracle::{Broken, Oracle};
-pub use world::{Faults, World};
+pub use oracle::{Oracle, Violation};
+pub use simulation::{Faults, Simulation};
--- a/crates/stackpier-fuzz/src/cell/oracle.rs
+++ b/crates/stackpier-fuzz/src/cell/oracle.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What must never be seen on the workers.
+//! Checks of what happens on the workers and of the states that owners report.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,99 +11,102 @@
 use stackpier_standin::fleet::Worker;
 use stackpier_state::job::{Spec, State};
 
-/// Broken is a promise that did not hold.
+/// Violation describes an invariant that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
-    /// When it was seen, in milliseconds.
+pub struct Violation {
+    /// When it was detected, in milliseconds.
     pub at_ms: u64,
-    /// What was seen.
+    /// What was detected.
     pub what: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "at {} ms: {}", self.at_ms, self.what)
     }
 }
 
-/// Noted is how the end of a run came to be noted.
+/// AckedEnd records how the end of a run was acknowledged.
 #[derive(Clone, Copy, Debug)]
-struct Noted {
-    /// When it was, in milliseconds.
+struct AckedEnd {
+    /// When it was acknowledged, in milliseconds.
     at_ms: u64,
-    /// The fence of the owner that noted it.
+    /// The fence of the owner that acknowledged it.
     fence: u64,
-    /// Whether the worker's lease lapsed between the end and the note.
-    lapsed: bool,
+    /// Whether the worker's lease expired between the end and its acknowledgement.
+    expired: bool,
 }
 
-impl Noted {
-    /// bars tells whether the end counts for an owner with a fence that starts the
-    /// task again.
-    /// The users' rule does not count an end that is noted after the lease
-    /// lapsed. Here that holds for earlier owners only, who can't know of it.
-    fn bars(self, fence: u64) -> bool {
-        !self.lapsed || fence >= self.fence
+impl AckedEnd {
+    /// forbids_start reports whether an owner with a fence may not start the task again because
+    /// of this end. The operators' rule ignores an end that was acknowledged after the lease
+    /// expired. This check is stricter: it ignores such an end only for owners with lower fences,
+    /// as they can't know of it.
+    fn forbids_start(self, fence: u64) -> bool {
+        !self.expired || fence >= self.fence
     }
 }
 
-/// LEAST_CRASHES is how many workers a task must have brought down before its job may be
-/// shown as failed for that.
-const LEAST_CRASHES: usize = 2;
-/// SHOWN_CRASHES is how many show it for certain.
-const SHOWN_CRASHES: u32 = 3;
-/// MORE_STARTS is how many starts later owners may not make after that.
-const MORE_STARTS: u32 = 3;
+/// MIN_CRASHES is how many workers a task must have crashed before its job may be reported as
+/// failed for that reason.
+const MIN_CRASHES: usize = 2;
+/// CONCLUSIVE_CRASHES is how many crashed workers prove that the task is the cause.
+const CONCLUSIVE_CRASHES: u32 = 3;
+/// EXCESS_STARTS is the number of starts by the newest owner after [`CONCLUSIVE_CRASHES`] that is
+/// a violation.
+const EXCESS_STARTS: u32 = 3;
 
-/// SEEN_MS is how long after a crash its owner must live to count it: a call without an
-/// answer is given up after 700 ms, and a save takes some more.
-const SEEN_MS: u64 = 1_000;
+/// DETECTION_MS is how long an owner must stay the owner after a crash to count it: a call
+/// without an answer times out after 700 ms, and the save takes some more time.
+const DETECTION_MS: u64 = 1_000;
 
 /// LATE_COPY_MS is how long after the end of a task, or of its job, copies of it may still
-/// start: they were on their way.
+/// start, because their start orders were already sent.
 const LATE_COPY_MS: u64 = 1_000;
 
-/// Crashes are those of one task.
+/// Crashes counts the worker crashes that one task caused.
 #[derive(Clone, Debug, Default)]
 struct Crashes {
-    /// When each was.
+    /// The time of each crash.
     times: Vec<u64>,
-    /// Starts by the newest owner after enough of them.
+    /// Starts by the newest owner after [`CONCLUSIVE_CRASHES`] counted crashes.
     starts_after: u32,
 }
 
-/// Oracle remembers what ended and was noted.
+/// Oracle records ends, acknowledgements, crashes and reported states, and checks starts and
+/// reports against them.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    /// The jobs, as handed in.
+    /// The jobs as submitted.
     pub specs: BTreeMap<key::Job, Spec>,
-    /// Failed runs after which a job has failed.
+    /// The number of failed runs of a task that fails its job.
     pub attempts: usize,
-    done: BTreeMap<TaskName, Noted>,
-    /// Tasks that ended well on workers that died before that was noted.
-    ended: BTreeSet<TaskName>,
-    failed: BTreeMap<TaskName, BTreeMap<u32, Noted>>,
-    /// Failed runs on workers that died before that was noted.
-    failed_unnoted: BTreeSet<(TaskName, u32)>,
-    /// Jobs that a client account was shown in a final state, and when first.
-    ended_jobs: BTreeMap<key::Job, (State, u64)>,
-    /// Ends of runs that were done, and not noted yet, when their task was started again.
-    started_again: BTreeSet<(TaskName, u32)>,
-    /// How often each task has brought down a worker.
+    done: BTreeMap<TaskName, AckedEnd>,
+    /// Completed tasks whose worker crashed before the end was acknowledged.
+    unacked_done: BTreeSet<TaskName>,
+    failed: BTreeMap<TaskName, BTreeMap<u32, AckedEnd>>,
+    /// Failed runs whose worker crashed before the end was acknowledged.
+    unacked_failed: BTreeSet<(TaskName, u32)>,
+    /// The first final state of each job that was reported to a client account, and when.
+    reported_jobs: BTreeMap<key::Job, (State, u64)>,
+    /// Completed runs whose end was not yet acknowledged when their task started again.
+    restarted: BTreeSet<(TaskName, u32)>,
+    /// The worker crashes that each task caused.
     crashes: BTreeMap<TaskName, Crashes>,
-    /// Workers that crashed under each task by no task's doing. Users accept that a task
-    /// is given up for these, as nobody can tell them from its own.
-    crashed_by_itself: BTreeMap<TaskName, u32>,
-    /// When each owner took over.
+    /// The number of workers that crashed while they ran each task, but not because of a task.
+    /// Operators accept that a task is given up after such crashes, as they can't be told apart
+    /// from crashes that it caused.
+    unrelated_crashes: BTreeMap<TaskName, u32>,
+    /// The time of each takeover.
     takeovers: Vec<u64>,
-    /// Whether crashes count that their owner did not live to see.
+    /// Whether crashes count even if their owner was replaced before it could detect them.
     pub strict: bool,
-    /// What was seen first.
-    pub broken: Option<Broken>,
+    /// The first violation.
+    pub violation: Option<Violation>,
 }
 
 impl Oracle {
-    /// new starts with nothing seen; `attempts` failed runs fail a job.
+    /// new returns an oracle without records; `attempts` failed runs of a task fail its job.
     pub fn new(attempts: usize) -> Oracle {
         Oracle {
             attempts,
@@ -111,100 +114,106 @@
         }
     }
 
-    fn breaks(&mut self, at_ms: u64, what: String) {
-        self.broken.get_or_insert(Broken { at_ms, what });
+    fn report_violation(&mut self, at_ms: u64, what: String) {
+        self.violation.get_or_insert(Violation { at_ms, what });
     }
 
-    /// note takes in the ends that an owner with a fence told a worker to
-    /// forget.
-    pub fn note(&mut self, at_ms: u64, worker: &mut Worker, fence: u64) {
+    /// record_acked records the ends that an owner with a fence acknowledged to a worker.
+    pub fn record_acked(&mut self, at_ms: u64, worker: &mut Worker, fence: u64) {
         for end in worker.noted.drain(..) {
-            let lapsed = end.number <= worker.lapsed_end;
-            let noted = Noted {
+            let expired = end.number <= worker.lapsed_end;
+            let acked = AckedEnd {
                 at_ms,
                 fence,
-                lapsed,
+                expired,
             };
             match end.cause {
                 stackpier_cell::EndCause::Done => {
-                    if !lapsed && self.started_again.contains(&(end.task, end.run)) {
-                        let what = format!("{} started again before its end was noted", end.task);
-                        self.breaks(at_ms, what);
+                    if !expired && self.restarted.contains(&(end.task, end.run)) {
+                        let what =
+                            format!("{} started again before its end was acknowledged", end.task);
+                        self.report_violation(at_ms, what);
                     }
-                    let earlier = self.done.entry(end.task).or_insert(noted);
-                    if earlier.lapsed && !lapsed {
-                        *earlier = noted;
+                    let earlier = self.done.entry(end.task).or_insert(acked);
+                    if earlier.expired && !expired {
+                        *earlier = acked;
                     }
                 }
                 stackpier_cell::EndCause::Failed => {
                     let runs = self.failed.entry(end.task).or_default();
-                    runs.insert(end.run, noted);
+                    runs.insert(end.run, acked);
                 }
                 _ => {}
             }
         }
     }
 
-    /// lose takes in what a worker listed when it died.
-    pub fn lose(&mut self, worker: &Worker) {
+    /// record_lost_ends records the unacknowledged ends of a worker that crashes.
+    pub fn record_lost_ends(&mut self, worker: &Worker) {
         let ends = worker.ends.iter();
         let done = ends.filter(|end| end.cause == stackpier_cell::EndCause::Done);
-        self.ended.extend(done.map(|end| end.task));
+        self.unacked_done.extend(done.map(|end| end.task));
         let failed = worker.ends.iter();
         let failed = failed.filter(|end| end.cause == stackpier_cell::EndCause::Failed);
         let failed = failed.map(|end| (end.task, end.run));
-        self.failed_unnoted.extend(failed);
+        self.unacked_failed.extend(failed);
     }
 
-    /// crashed_under takes in the runs of a worker that crashed by no task's doing.
-    pub fn crashed_under(&mut self, worker: &Worker) {
+    /// record_crash_under_runs records the runs of a worker whose crash no task caused.
+    pub fn record_crash_under_runs(&mut self, worker: &Worker) {
         for run in &worker.runs {
-            *self.crashed_by_itself.entry(run.task).or_default() += 1;
+            *self.unrelated_crashes.entry(run.task).or_default() += 1;
         }
     }
 
-    /// took_over notes that a daemon became the owner.
-    pub fn took_over(&mut self, at_ms: u64) {
+    /// record_takeover records the time at which a daemon became the owner.
+    pub fn record_takeover(&mut self, at_ms: u64) {
         self.takeovers.push(at_ms);
     }
 
-    /// brought_down takes in a start that brings its worker down; `newest` tells whether
-    /// the newest owner ordered it.
-    pub fn brought_down(&mut self, at_ms: u64, task: TaskName, newest: bool) {
+    /// record_crash_by_task records a start that crashes its worker. `newest` tells whether the
+    /// newest owner ordered it.
+    pub fn record_crash_by_task(&mut self, at_ms: u64, task: TaskName, newest: bool) {
         let mut crashes = self.crashes.remove(&task).unwrap_or_default();
         let counted = crashes.times.iter().filter(|at| self.is_counted(**at));
-        if counted.count() >= SHOWN_CRASHES as usize && newest {
+        if counted.count() >= CONCLUSIVE_CRASHES as usize && newest {
             crashes.starts_after += 1;
         }
         crashes.times.push(at_ms);
-        if crashes.starts_after >= MORE_STARTS {
+        if crashes.starts_after >= EXCESS_STARTS {
             let count = crashes.times.len();
-            self.breaks(
+            self.report_violation(
                 at_ms,
-                format!("{task} has brought down {count} workers and starts again"),
+                format!("{task} has crashed {count} workers and starts again"),
             );
         }
         self.crashes.insert(task, crashes);
     }
 
-    /// is_counted tells whether a crash counts: all do if the oracle is strict, else those
-    /// whose owner lived to see them.
+    /// is_counted reports whether a crash counts: all do if the oracle is strict, else those
+    /// whose owner was not replaced within [`DETECTION_MS`].
     fn is_counted(&self, crash_ms: u64) -> bool {
-        let unseen = |at_ms: &u64| (crash_ms..crash_ms + SEEN_MS).contains(at_ms);
+        let unseen = |at_ms: &u64| (crash_ms..crash_ms + DETECTION_MS).contains(at_ms);
         self.strict || !self.takeovers.iter().any(unseen)
     }
 
-    /// started checks a run that has just begun on the worker at `place`.
-    pub fn started(&mut self, at_ms: u64, start: &Start, place: usize, workers: &[Worker]) {
+    /// check_start checks a run that has just started on `workers[worker_index]`.
+    pub fn check_start(
+        &mut self,
+        at_ms: u64,
+        start: &Start,
+        worker_index: usize,
+        workers: &[Worker],
+    ) {
         let task = start.order.task;
         if self.may_have_copies(task) {
             self.check_ended(at_ms.saturating_sub(LATE_COPY_MS), at_ms, start);
         } else {
             self.check_ended(at_ms, at_ms, start);
-            self.check_alone(at_ms, task, workers);
+            self.check_single_run(at_ms, task, workers);
         }
-        self.check_order(at_ms, task, workers);
-        self.check_spread(at_ms, task, &workers[place]);
+        self.check_step_order(at_ms, task, workers);
+        self.check_max_per_worker(at_ms, task, &workers[worker_index]);
     }
 
     fn may_have_copies(&self, task: TaskName) -> bool {
@@ -212,48 +221,53 @@
         spec.is_some_and(|spec| spec.steps[usize::from(task.step)].speculative)
     }
 
-    /// check_ended looks whether a task that starts, or its job, had ended by a time.
-    fn check_ended(&mut self, by_ms: u64, at_ms: u64, start: &Start) {
+    /// check_ended detects the start of a task that had ended, or whose job had ended, by
+    /// `until_ms`.
+    fn check_ended(&mut self, until_ms: u64, at_ms: u64, start: &Start) {
         let task = start.order.task;
-        let bars = |noted: &Noted| noted.at_ms <= by_ms && noted.bars(start.order.fence);
-        if self.done.get(&task).is_some_and(bars) {
-            self.breaks(at_ms, format!("{task} starts after its noted end"));
+        let forbids =
+            |acked: &AckedEnd| acked.at_ms <= until_ms && acked.forbids_start(start.order.fence);
+        if self.done.get(&task).is_some_and(forbids) {
+            self.report_violation(at_ms, format!("{task} starts after its acknowledged end"));
         }
         let failed = self
             .failed
             .get(&task)
             .into_iter()
             .flat_map(BTreeMap::values);
-        if failed.filter(|noted| bars(noted)).count() >= self.attempts {
+        if failed.filter(|acked| forbids(acked)).count() >= self.attempts {
             let what = format!("{task} starts after {} failed runs", self.attempts);
-            self.breaks(at_ms, what);
+            self.report_violation(at_ms, what);
         }
-        let ended = self.ended_jobs.get(&task.job).copied();
-        if let Some((State::Completed, shown_ms)) = ended.filter(|(_, shown)| *shown <= by_ms) {
-            self.breaks(
+        let ended = self.reported_jobs.get(&task.job).copied();
+        if let Some((State::Completed, reported_ms)) =
+            ended.filter(|(_, reported)| *reported <= until_ms)
+        {
+            self.report_violation(
                 at_ms,
-                format!("{task} starts though its job was shown as completed at {shown_ms} ms"),
+                format!(
+                    "{task} starts though its job was reported as completed at {reported_ms} ms"
+                ),
             );
         }
     }
 
-    /// check_alone looks whether a task that starts runs elsewhere, and keeps in mind which
-    /// of its runs have ended well and are not noted.
-    fn check_alone(&mut self, at_ms: u64, task: TaskName, workers: &[Worker]) {
+    /// check_single_run detects a second run of a task that starts. It also remembers the completed
+    /// runs of the task whose end is not acknowledged yet.
+    fn check_single_run(&mut self, at_ms: u64, task: TaskName, workers: &[Worker]) {
         let runs = workers.iter().flat_map(|worker| &worker.runs);
         if runs.filter(|run| run.task == task).count() > 1 {
-            self.breaks(at_ms, format!("{task} runs twice at once"));
+            self.report_violation(at_ms, format!("{task} runs twice at once"));
         }
         let ends = workers.iter().flat_map(|worker| &worker.ends);
         let done =
             ends.filter(|end| end.task == task && end.cause == stackpier_cell::EndCause::Done);
-        self.started_again
-            .extend(done.map(|end| (end.task, end.run)));
+        self.restarted.extend(done.map(|end| (end.task, end.run)));
     }
 
-    fn check_order(&mut self, at_ms: u64, task: TaskName, workers: &[Worker]) {
+    fn check_step_order(&mut self, at_ms: u64, task: TaskName, workers: &[Worker]) {
         let Some(spec) = self.specs.get(&task.job) else {
-            self.breaks(at_ms, format!("{task} starts, but nobody handed it in"));
+            self.report_violation(at_ms, format!("{task} starts, but nobody submitted it"));
             return;
         };
         let after = spec.steps[usize::from(task.step)].after.clone();
@@ -268,46 +282,51 @@
                 let listed = workers.iter().flat_map(|worker| &worker.ends);
                 let mut listed = listed.filter(|end| end.cause == stackpier_cell::EndCause::Done);
                 self.done.contains_key(name)
-                    || self.ended.contains(name)
+                    || self.unacked_done.contains(name)
                     || listed.any(|end| end.task == *name)
             };
             if let Some(missing) = (0..count).map(name).find(|name| !ended(name)) {
-                self.breaks(at_ms, format!("{task} starts before {missing} is done"));
+                self.report_violation(at_ms, format!("{task} starts before {missing} is done"));
                 return;
             }
         }
     }
 
-    fn check_spread(&mut self, at_ms: u64, task: TaskName, worker: &Worker) {
+    fn check_max_per_worker(&mut self, at_ms: u64, task: TaskName, worker: &Worker) {
         let spec = &self.specs[&task.job];
-        let Some(most) = spec.steps[usize::from(task.step)].most_per_worker else {
+        let Some(max) = spec.steps[usize::from(task.step)].most_per_worker else {
             return;
         };
-        let alike = |other: TaskName| {
+        let is_same_step = |other: TaskName| {
             (other.job, other.round, other.step) == (task.job, task.round, task.step)
         };
-        let here = worker.runs.iter().filter(|run| alike(run.task)).count();
-        if here > most as usize {
-            self.breaks(
+        let here = worker
+            .runs
+            .iter()
+            .filter(|run| is_same_step(run.task))
+            .count();
+        if here > max as usize {
+            self.report_violation(
                 at_ms,
-                format!("{task} is one of {here} on a worker that may have {most}"),
+                format!("{task} is one of {here} on a worker that may run {max}"),
             );
         }
     }
 
-    /// shown checks a final state that a client account was shown.
-    pub fn shown(&mut self, at_ms: u64, job: key::Job, state: State, workers: &[Worker]) {
+    /// check_reported checks a final state that an owner reports to a client account.
+    pub fn check_reported(&mut self, at_ms: u64, job: key::Job, state: State, workers: &[Worker]) {
         if !state.is_final() {
             return;
         }
-        if let Some((earlier, shown_ms)) = self.ended_jobs.get(&job).copied() {
+        if let Some((earlier, reported_ms)) = self.reported_jobs.get(&job).copied() {
             if earlier != state {
-                let what = format!("job shown as {earlier:?} at {shown_ms} ms and as {state:?}");
-                self.breaks(at_ms, what);
+                let what =
+                    format!("job reported as {earlier:?} at {reported_ms} ms and as {state:?}");
+                self.report_violation(at_ms, what);
             }
             return;
         }
-        self.ended_jobs.insert(job, (state, at_ms));
+        self.reported_jobs.insert(job, (state, at_ms));
         match state {
             State::Completed => self.check_completed(at_ms, job, workers),
             State::Failed => self.check_failed(at_ms, job, workers),
@@ -315,19 +334,19 @@
         }
     }
 
-    /// check_failed looks for a reason: a task that failed as often as allowed, or that
-    /// brought workers down.
+    /// check_failed requires a reason for a failed job: a task that failed as often as its queue
+    /// allows, or that crashed workers.
     fn check_failed(&mut self, at_ms: u64, job: key::Job, workers: &[Worker]) {
         let crashed = |(task, crashes): (&TaskName, &Crashes)| {
-            task.job == job && crashes.times.len() >= LEAST_CRASHES
+            task.job == job && crashes.times.len() >= MIN_CRASHES
         };
-        let crashed_by_itself =
-            |(task, count): (&TaskName, &u32)| task.job == job && *count >= SHOWN_CRASHES;
-        if self.crashes.iter().any(crashed) || self.crashed_by_itself.iter().any(crashed_by_itself)
+        let crashed_unrelated =
+            |(task, count): (&TaskName, &u32)| task.job == job && *count >= CONCLUSIVE_CRASHES;
+        if self.crashes.iter().any(crashed) || self.unrelated_crashes.iter().any(crashed_unrelated)
         {
             return;
         }
-        let mut runs = self.failed_unnoted.clone();
+        let mut runs = self.unacked_failed.clone();
         for (task, failed) in &self.failed {
             runs.extend(failed.keys().map(|run| (*task, *run)));
         }
@@ -339,9 +358,9 @@
             *counts.entry(task).or_default() += 1;
         }
         if !counts.values().any(|count| *count >= self.attempts) {
-            self.breaks(
+            self.report_violation(
                 at_ms,
-                format!("job {job:?} is shown as failed without a cause"),
+                format!("job {job:?} is reported as failed without a cause"),
             );
         }
     }
@@ -364,15 +383,15 @@
                     index,
                 };
                 let known = |set: &BTreeSet<TaskName>| set.contains(&name);
-                if !self.done.contains_key(&name) && !known(&self.ended) && !known(&listed) {
+                if !self.done.contains_key(&name) && !known(&self.unacked_done) && !known(&listed) {
                     missing = Some(name);
                 }
             }
         }
         if let Some(name) = missing {
-            self.breaks(
+            self.report_violation(
                 at_ms,
-                format!("job shown as completed, but {name} is not done"),
+                format!("job reported as completed, but {name} is not done"),
             );
         }
     }
--- a/crates/stackpier-fuzz/src/cell/world/calls.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/calls.rs
@@ -1,48 +1,48 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Calls to workers: sent, lost or late, carried out, and answered.
+//! Calls to workers: sending, loss, delay, execution and answers.
 
 use stackpier_cell::{Effect, Event, Renewed, Start, Started, Stopped};
 use stackpier_core::Millis;
 use stackpier_standin::fleet::Worker;
 
-use super::{LIMIT_MS, Message, WORKERS, World};
+use super::{CALL_TIMEOUT_MS, Message, Simulation, WORKERS};
 
-/// Reply tells what becomes of the answer to an order.
+/// Reply tells what happens to the answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reply {
-    /// It comes.
-    Comes,
-    /// It is lost: the owner gives the call up in time.
+    /// It arrives.
+    Arrives,
+    /// It is lost: the call times out.
     Lost,
-    /// The owner has given the call up already.
-    TooLate,
+    /// The call has already timed out.
+    AfterTimeout,
 }
 
-impl World {
-    /// order sends an order on its way, or loses or delays it.
-    pub(super) fn order(&mut self, place: usize, order: Effect, delay: u64) {
+impl Simulation {
+    /// send_order sends an order, or loses or delays it.
+    pub(super) fn send_order(&mut self, index: usize, order: Effect, delay: u64) {
         let sent = self.now().mono;
-        let hold = matches!(order, Effect::Renew(_));
-        if self.chance(self.faults.lost) {
+        let is_renewal = matches!(order, Effect::Renew(_));
+        if self.draw_fault(self.faults.lost) {
             self.count("lost call");
-            self.silence(place, &order);
-        } else if !hold && self.chance(self.faults.late) {
+            self.send_timeout(index, &order);
+        } else if !is_renewal && self.draw_fault(self.faults.late) {
             self.count("late order");
-            self.silence(place, &order);
-            let late = self.between(2_000, 12_000);
+            self.send_timeout(index, &order);
+            let late = self.draw_range(2_000, 12_000);
             self.send(
                 late,
-                Message::Arrive(place, Box::new(order), Reply::TooLate, sent),
+                Message::Arrive(index, Box::new(order), Reply::AfterTimeout, sent),
             );
         } else {
-            let lost = self.chance(self.faults.unanswered);
-            let reply = if lost { Reply::Lost } else { Reply::Comes };
-            self.send(delay, Message::Arrive(place, Box::new(order), reply, sent));
+            let lost = self.draw_fault(self.faults.unanswered);
+            let reply = if lost { Reply::Lost } else { Reply::Arrives };
+            self.send(delay, Message::Arrive(index, Box::new(order), reply, sent));
         }
     }
 
-    /// silence tells an owner, in time, that a call got no answer.
-    fn silence(&mut self, place: usize, order: &Effect) {
+    /// send_timeout reports to an owner, after the timeout, that a call got no answer.
+    fn send_timeout(&mut self, index: usize, order: &Effect) {
         let event = match order {
             Effect::Start(start) => Event::Started {
                 run: start.order.key,
@@ -57,51 +57,51 @@
                 percent: pace.percent,
                 taken: false,
             },
-            Effect::Renew(hold) => Event::Renewed {
-                worker: hold.worker,
+            Effect::Renew(renewal) => Event::Renewed {
+                worker: renewal.worker,
                 sent: self.now().mono,
                 outcome: Renewed::Silent,
             },
             _ => return,
         };
-        self.send(LIMIT_MS, Message::Event(place, Box::new(event)));
+        self.send(CALL_TIMEOUT_MS, Message::Event(index, Box::new(event)));
     }
 
-    /// arrive hands an order to its worker, and the answer back to the owner.
-    pub(super) fn arrive(&mut self, place: usize, order: Effect, reply: Reply, sent: Millis) {
+    /// arrive delivers an order to its worker and sends the answer back to the owner.
+    pub(super) fn arrive(&mut self, index: usize, order: Effect, reply: Reply, sent: Millis) {
         let Some(target) = self.target(&order) else {
             return;
         };
-        if self.down[target] || !self.reaches(place, target) {
-            if reply != Reply::TooLate {
-                self.silence(place, &order);
+        if self.down[target] || !self.reaches_worker(index, target) {
+            if reply != Reply::AfterTimeout {
+                self.send_timeout(index, &order);
             }
             return;
         }
         let Some(event) = self.answer(target, &order, sent) else {
             return;
         };
-        self.hear(place, &order, &event);
+        self.record_contact(index, &order, &event);
         match reply {
-            Reply::Comes => {
-                let delay = self.between(0, 4);
-                self.send(delay, Message::Event(place, Box::new(event)));
+            Reply::Arrives => {
+                let delay = self.draw_range(0, 4);
+                self.send(delay, Message::Event(index, Box::new(event)));
             }
             Reply::Lost => {
                 self.count("lost answer");
-                self.silence(place, &order);
+                self.send_timeout(index, &order);
             }
-            Reply::TooLate => {}
+            Reply::AfterTimeout => {}
         }
     }
 
-    /// answer lets a worker carry an order out and returns its answer, if the
-    /// order has one.
+    /// answer executes an order on a worker and returns the answer, if the order
+    /// has one.
     fn answer(&mut self, target: usize, order: &Effect, sent: Millis) -> Option<Event> {
         let event = match order {
             Effect::Start(start) => Event::Started {
                 run: start.order.key,
-                outcome: self.begin(target, start),
+                outcome: self.start_run(target, start),
             },
             Effect::Stop(stop) => Event::Stopped {
                 run: stop.order.key,
@@ -112,13 +112,13 @@
                 percent: pace.percent,
                 taken: self.workers[target].pace(self.now_ms, pace),
             },
-            Effect::Renew(hold) => {
-                let outcome = self.workers[target].hold(self.now_ms, hold);
-                self.count_listing(target, &outcome);
+            Effect::Renew(renewal) => {
+                let outcome = self.workers[target].hold(self.now_ms, renewal);
+                self.count_unusual_listing(target, &outcome);
                 self.oracle
-                    .note(self.now_ms, &mut self.workers[target], hold.fence);
+                    .record_acked(self.now_ms, &mut self.workers[target], renewal.fence);
                 Event::Renewed {
-                    worker: hold.worker,
+                    worker: renewal.worker,
                     sent,
                     outcome,
                 }
@@ -128,13 +128,13 @@
         Some(event)
     }
 
-    /// target returns the place of the worker that an order goes to.
+    /// target returns the index of the worker that an order is addressed to.
     fn target(&self, order: &Effect) -> Option<usize> {
         let address = match order {
             Effect::Start(start) => &start.order.address,
             Effect::Stop(stop) => &stop.order.address,
             Effect::Pace(pace) => &pace.order.address,
-            Effect::Renew(hold) => &hold.address,
+            Effect::Renew(renewal) => &renewal.address,
             _ => return None,
         };
         self.workers
@@ -142,8 +142,8 @@
             .position(|worker| worker.info.address == *address)
     }
 
-    /// begin starts a run on a worker and shows it to the oracle.
-    fn begin(&mut self, target: usize, start: &Start) -> Started {
+    /// start_run starts a run on a worker and has the oracle check it.
+    fn start_run(&mut self, target: usize, start: &Start) -> Started {
         let task = start.order.task;
         let steps = &self.behaviours[&task.job];
         let behaviour = steps[usize::from(task.step)][task.index as usize];
@@ -155,17 +155,17 @@
         if self.workers[target].runs.len() > before {
             self.count("start");
             let up: Vec<Worker> = (0..WORKERS)
-                .filter(|place| !self.down[*place])
-                .map(|place| self.workers[place].clone())
+                .filter(|index| !self.down[*index])
+                .map(|index| self.workers[index].clone())
                 .collect();
-            let place = up
+            let index = up
                 .iter()
                 .position(|worker| worker.info.id == self.workers[target].info.id);
-            if let Some(place) = place {
-                self.oracle.started(self.now_ms, start, place, &up);
+            if let Some(index) = index {
+                self.oracle.check_start(self.now_ms, start, index, &up);
             }
             if behaviour.crashes {
-                self.bring_down(target, start);
+                self.crash_after_start(target, start);
             }
         }
         outcome
--- a/crates/stackpier-fuzz/src/cell/world/jobs.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/jobs.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The making of jobs: their steps, how their tasks behave, and when they are
-//! handed in and cancelled.
+//! Random jobs: their steps, the behaviour of their tasks, and when they are
+//! submitted and cancelled.
 
 use rand::RngExt;
 use stackpier_cell::Event;
@@ -8,31 +8,31 @@
 use stackpier_standin::fleet::Behaviour;
 use stackpier_state::job::{Record, Spec, Step};
 
-use super::{Faults, Message, START, World, queue};
+use super::{Faults, Message, START_UNIX_MS, Simulation, queue};
 
-impl World {
-    /// plan_jobs draws all jobs, and when each is handed in and cancelled.
+impl Simulation {
+    /// plan_jobs draws all jobs, and when each is submitted and cancelled.
     pub(super) fn plan_jobs(&mut self, length_ms: u64) {
         let count = length_ms / 400;
         for number in 0..count {
             let job = key::Job(number + 1);
-            let spec = self.new_spec(job);
+            let spec = self.draw_spec(job);
             self.oracle.specs.insert(job, spec);
-            let at = self.between(500, length_ms);
+            let at = self.draw_range(500, length_ms);
             self.send(at, Message::Submit(job));
             if self.random.random_range(0..1_000) < self.faults.cancels {
-                let after = self.between(0, 3_000);
+                let after = self.draw_range(0, 3_000);
                 self.send(at + after, Message::Cancel(job));
             }
         }
     }
 
-    fn new_spec(&mut self, job: key::Job) -> Spec {
+    fn draw_spec(&mut self, job: key::Job) -> Spec {
         let mut steps = Vec::new();
         let mut behaviours = Vec::new();
-        for number in 0..self.between(1, 3) {
-            let step = self.new_step(number as u16);
-            behaviours.push(self.new_behaviours(&step));
+        for number in 0..self.draw_range(1, 3) {
+            let step = self.draw_step(number as u16);
+            behaviours.push(self.draw_behaviours(&step));
             steps.push(step);
         }
         self.behaviours.insert(job, behaviours);
@@ -43,17 +43,17 @@
         }
     }
 
-    fn new_step(&mut self, number: u16) -> Step {
+    fn draw_step(&mut self, number: u16) -> Step {
         let best_effort = self.random.random_bool(0.5);
         let speculative = self.extra_random.random_range(0..1_000) < self.faults.copies;
         Step {
-            count: self.between(1, 5) as u32,
+            count: self.draw_range(1, 5) as u32,
             size: Size {
-                milli_cores: self.between(500, 3_000) as u32,
-                memory_mib: self.between(500, 4_000) as u32,
+                milli_cores: self.draw_range(500, 3_000) as u32,
+                memory_mib: self.draw_range(500, 4_000) as u32,
                 accelerators: 0,
             },
-            estimate_ms: self.new_estimate_ms(number),
+            estimate_ms: self.draw_estimate_ms(number),
             after: if number > 0 {
                 vec![number - 1]
             } else {
@@ -62,24 +62,24 @@
             checkpointing: self.random.random_bool(0.5),
             best_effort,
             most_per_worker: self.random.random_bool(0.3).then_some(2),
-            image: format!("image-{}", self.between(0, 3)),
+            image: format!("image-{}", self.draw_range(0, 3)),
             speculative,
             ..Step::default()
         }
     }
 
-    /// new_estimate_ms draws how long a task works: most a short time, those of
-    /// one first step in five longer than a lease.
-    fn new_estimate_ms(&mut self, step: u16) -> u32 {
+    /// draw_estimate_ms draws how long the tasks of a step work: most only a short
+    /// time, and in one of five first steps longer than a lease.
+    fn draw_estimate_ms(&mut self, step: u16) -> u32 {
         let (low, high) = if step == 0 && self.random.random_bool(0.2) {
             (7_000, 12_000)
         } else {
             (100, 2_500)
         };
-        self.between(low, high) as u32
+        self.draw_range(low, high) as u32
     }
 
-    fn new_behaviours(&mut self, step: &Step) -> Vec<Behaviour> {
+    fn draw_behaviours(&mut self, step: &Step) -> Vec<Behaviour> {
         let mut size = step.size;
         let mut fills_milli = 0;
         if step.best_effort {
@@ -102,13 +102,13 @@
         (0..step.count).map(|_| next()).collect()
     }
 
-    /// submit hands a job in to the newest owner.
+    /// submit stores a job and reports it to the newest owner.
     pub(super) fn submit(&mut self, job: key::Job) {
         let record = Record {
             queue: queue(),
             spec: self.oracle.specs[&job].clone(),
             fence: self.store.fence,
-            accepted_ms: START + self.now_ms,
+            accepted_ms: START_UNIX_MS + self.now_ms,
         };
         self.store.jobs.insert(job, record.clone());
         let event = Event::Accepted {
@@ -117,34 +117,34 @@
             progress: None,
             cancelled: false,
         };
-        let place = self.owners.len() - 1;
+        let index = self.owners.len() - 1;
         self.watch_stale(&event);
-        self.feed(place, event);
+        self.deliver(index, event);
     }
 
-    /// watch_stale has owners that were replaced learn of a job by their watch, before
-    /// another watch tells them that they were.
+    /// watch_stale reports a job to replaced owners through their watch of the store, before
+    /// another watch reports that they were replaced.
     fn watch_stale(&mut self, accepted: &Event) {
-        for place in 0..self.owners.len() - 1 {
-            if !self.owners[place].over
-                && self.has_store(place)
-                && self.extra_chance(self.faults.stale_watches)
+        for index in 0..self.owners.len() - 1 {
+            if !self.owners[index].ended
+                && self.reaches_store(index)
+                && self.draw_extra_fault(self.faults.stale_watches)
             {
                 self.count("job of a later owner seen by an earlier one");
-                let delay_ms = self.extra_between(1, 10);
+                let delay_ms = self.draw_extra_range(1, 10);
                 let event = Box::new(accepted.clone());
-                self.send(delay_ms, Message::Event(place, event));
+                self.send(delay_ms, Message::Event(index, event));
             }
         }
     }
 
-    /// cancel cancels a job, if it was handed in.
+    /// cancel cancels a job, if it was submitted.
     pub(super) fn cancel(&mut self, job: key::Job) {
         if self.store.jobs.contains_key(&job) {
             self.count("cancel");
             self.store.cancelled.insert(job, ());
-            let place = self.owners.len() - 1;
-            self.feed(place, Event::Cancelled(job));
+            let index = self.owners.len() - 1;
+            self.deliver(index, Event::Cancelled(job));
         }
     }
 }
--- a/crates/stackpier-fuzz/src/lib.rs
+++ b/crates/stackpier-fuzz/src/lib.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Small worlds for stateful fuzzing: several daemons' decision machines, a
-//! fake store, list and workers, and faults as ordinary transitions. The
-//! machines are the ones that the daemon runs.
+//! Simulations for stateful fuzzing: the state machines of several daemons, a
+//! fake store, a fake list of workers and fake workers, with faults as ordinary
+//! transitions. The state machines are the ones that the daemon runs.
 
 pub mod cell;
 mod choice;
--- a/crates/stackpier-fuzz/src/time.rs
+++ b/crates/stackpier-fuzz/src/time.rs
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Clocks that differ and drift.
+//! Monotonic clocks with different offsets and rates.
 
 use stackpier_core::Millis;
 
-/// Clock is the monotonic clock of one process.
+/// Clock converts true time into readings of one process's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     offset: u64,
@@ -18,7 +18,7 @@
         Clock { offset, rate_milli }
     }
 
-    /// at returns the reading at a true time in milliseconds.
+    /// at returns the clock's reading at a true time in milliseconds.
     pub fn at(&self, true_ms: u64) -> Millis {
         Millis(self.offset + true_ms * self.rate_milli / 1_000)
     }
--- a/crates/stackpier-fuzz/tests/common/mod.rs
+++ b/crates/stackpier-fuzz/tests/common/mod.rs
@@ -1,18 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the fuzz tests share: seeds, counts of cases, and the red runs.
+//! Shared by the fuzz tests: seeds, numbers of cases, and runs that are expected to fail because
+//! a guard is missing.
 
 use proptest::{
     prelude::*,
     test_runner::{FileFailurePersistence, RngSeed, TestRunner},
 };
 
-/// SEED is used unless PROPTEST_RNG_SEED names another one.
+/// SEED is the seed unless PROPTEST_RNG_SEED sets another one.
 const SEED: u64 = 20_261;
-/// RED_CASES is the most cases tried to see a missing guard.
-const RED_CASES: u32 = 4_000;
+/// MAX_UNGUARDED_CASES is how many cases are tried until one shows that a guard is missing.
+const MAX_UNGUARDED_CASES: u32 = 4_000;
 
-/// config runs `cases` cases unless PROPTEST_CASES names another count, and
-/// keeps the seeds of failures in a file.
+/// config returns the settings for `cases` cases, or as many as PROPTEST_CASES
+/// sets. Seeds of failures are stored in the file `regressions`.
 pub fn config(cases: u32, regressions: &'static str) -> ProptestConfig {
     let defaults = ProptestConfig::default();
     let rng_seed = match defaults.rng_seed {
@@ -32,7 +33,7 @@
     }
 }
 
-/// fails tells whether some random sequence of steps breaks an invariant.
+/// fails reports whether some random sequence of steps violates an invariant.
 pub fn fails<S, T, F>(step: S, length: usize, run: F) -> bool
 where
     S: Strategy<Value = T>,
@@ -40,7 +41,7 @@
     F: Fn(Vec<T>),
 {
     let mut runner = TestRunner::new(ProptestConfig {
-        cases: RED_CASES,
+        cases: MAX_UNGUARDED_CASES,
         max_shrink_iters: 0,
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(SEED),
@@ -54,9 +55,9 @@
     runner.run(&steps, run).is_err()
 }
 
-/// oracle defines `Oracle`, which generates the transitions of `step()` for
-/// every state. What must hold is asserted in the world, so the state only
-/// names the kind of world, as drawn from `$state`.
+/// oracle defines `Oracle`, a reference state machine that generates the
+/// transitions of `step()` in every state. The simulation itself asserts the
+/// invariants, so the state is only the kind of simulation, drawn from `$state`.
 #[macro_export]
 macro_rules! oracle {
     ($step:ty, $state:expr) => {
