--- a/crates/stackpier-fuzz/src/cell/simulation/faults.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/faults.rs
@@ -19,7 +19,8 @@
 /// ENTRY_EXPIRY_MS is the time from the last write of an entry to its expiry.
 const ENTRY_EXPIRY_MS: u64 = 3 * HEARTBEAT_MS;
 
-/// Faults holds the rate of each kind of fault, in thousandths of its opportunities.
+/// Faults holds the probability of each kind of fault, in thousandths. It is drawn for each
+/// occurrence of what the field counts, such as each call or each job.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// Calls and saves that never arrive.
@@ -28,15 +29,15 @@
     pub unanswered: u32,
     /// Orders that are executed seconds later, when the call has timed out.
     pub late: u32,
-    /// Workers per second that become unreachable for a while.
+    /// Workers that become unreachable for a while, drawn each second.
     pub cuts: u32,
-    /// Workers per second that crash and come back as a new incarnation.
+    /// Workers that crash and come back as a new incarnation, drawn each second.
     pub crashes: u32,
     /// Seconds in which another owner takes over.
     pub takeovers: u32,
     /// Seconds in which the newest owner freezes for a while.
     pub freezes: u32,
-    /// Workers per second that hang, or fail all runs, until the next second.
+    /// Workers that hang, or fail all runs, until the next second; drawn each second.
     pub grey: u32,
     /// Seconds in which the store becomes unavailable for a while.
     pub outages: u32,
@@ -51,7 +52,7 @@
     pub crashing: u32,
     /// Steps whose tasks may run as speculative copies.
     pub copies: u32,
-    /// Workers per second that announce that they drain, and exit some seconds later.
+    /// Workers that announce that they drain and exit some seconds later, drawn each second.
     pub drains: u32,
     /// Saves that are split into several transactions, each of which may fail by itself.
     pub splits: u32,
