--- a/crates/stackpier-load/src/capacity.rs
+++ b/crates/stackpier-load/src/capacity.rs
@@ -22,7 +22,7 @@
 };
 use stackpier_state::{Page, Revision};
 
-use self::fit::{Line, line};
+use self::fit::{Line, fit_line};
 use crate::table;
 
 /// ROUNDS is how often a decision is timed.
@@ -106,8 +106,14 @@
     subject("worker reply", "runs", "bytes", 4, |n| {
         json_bytes(&build::reply(n))
     }),
-    subject("owner looks at its rack", "runs", "us", 16, owner_tick),
-    subject("placer looks at its shard", "tasks", "us", 50, placer_tick),
+    subject("owner looks at its rack", "runs", "us", 16, time_owner_tick),
+    subject(
+        "placer looks at its shard",
+        "tasks",
+        "us",
+        50,
+        time_placer_tick,
+    ),
     subject("who is live", "entry VMs", "us", 9, live),
     subject("choice of an upstream", "upstreams", "us", 17, choice),
 ];
@@ -149,7 +155,7 @@
             fixed,
             per_item,
             worst_error,
-        } = line(&measured);
+        } = fit_line(&measured);
         slopes.push(Slope {
             what: subject.what,
             fixed,
@@ -175,25 +181,25 @@
     Ok(to_json(value)?.len() as f64)
 }
 
-/// timed returns the microseconds of one call.
-fn timed<F: FnMut()>(mut call: F) -> f64 {
+/// mean_call_us returns the microseconds of one call.
+fn mean_call_us<F: FnMut()>(mut call: F) -> f64 {
     let started = Instant::now();
     (0..ROUNDS).for_each(|_| call());
     started.elapsed().as_secs_f64() * 1_000_000.0 / f64::from(ROUNDS)
 }
 
-fn owner_tick(runs: usize) -> Result<f64> {
+fn time_owner_tick(runs: usize) -> Result<f64> {
     let table = build::table(9);
     let mut writer = Writer::new(Boot(1));
     let mut owner = build::owner(runs, &table, &mut writer);
     let mut now = 1_000;
-    Ok(timed(|| {
+    Ok(mean_call_us(|| {
         now += 50;
         owner.step(Millis(now), Event::Tick, &table, &mut writer);
     }))
 }
 
-fn placer_tick(tasks: usize) -> Result<f64> {
+fn time_placer_tick(tasks: usize) -> Result<f64> {
     let table = build::table(1);
     let catalogue = build::catalogue(tasks);
     let racks = build::reports(25);
@@ -205,7 +211,7 @@
     };
     let mut placer = build::placer(tasks, view, &mut writer);
     let mut now = 60_000;
-    Ok(timed(|| {
+    Ok(mean_call_us(|| {
         now += 50;
         placer.step(Millis(now), Event::Tick, view, &mut writer);
     }))
@@ -213,7 +219,7 @@
 
 fn live(daemons: usize) -> Result<f64> {
     let table = build::table(daemons);
-    Ok(timed(|| {
+    Ok(mean_call_us(|| {
         std::hint::black_box(table.live(Millis(1), table.data_centre()));
     }))
 }
@@ -221,7 +227,7 @@
 fn choice(upstreams: usize) -> Result<f64> {
     let (mut service, mut rng) = build::service(upstreams);
     let mut ticket = 0;
-    Ok(timed(|| {
+    Ok(mean_call_us(|| {
         ticket += 1;
         let choice = service.arrive(Millis(1), Millis(1_000), Ticket(ticket), &[], &mut rng);
         if let stackpier_coordination::route::Choice::Send(key) = choice {
--- a/crates/stackpier-load/src/capacity/build/machine.rs
+++ b/crates/stackpier-load/src/capacity/build/machine.rs
@@ -27,12 +27,12 @@
 };
 use crate::label::name;
 
-/// MOST_WRITES bounds the writes after which a machine is at rest.
-const MOST_WRITES: u64 = 5;
+/// MAX_WRITES bounds the writes after which a machine is at rest.
+const MAX_WRITES: u64 = 5;
 /// WRITE_GAP_MS is the time between two of them, more than between commits.
 const WRITE_GAP_MS: u64 = 1_000;
-/// NEVER_MS is a time between sweeps that does not pass.
-const NEVER_MS: u64 = u64::MAX / 16;
+/// NO_SWEEP_MS is a time between sweeps that does not pass.
+const NO_SWEEP_MS: u64 = u64::MAX / 16;
 
 /// vm builds an entry of the list.
 fn vm(label: Name, role: Role, rack: Option<Name>) -> Vm {
@@ -77,7 +77,7 @@
 pub fn owner(runs: usize, table: &Table, writer: &mut Writer) -> Owner {
     let label = rack_name();
     let options = owner::Options {
-        sweep_ms: NEVER_MS,
+        sweep_ms: NO_SWEEP_MS,
         ..owner::Options::default()
     };
     let mut owner = Owner::new(label, member(0), options);
@@ -95,7 +95,7 @@
 /// placer builds the placer of a shard with a count of tasks, at rest.
 pub fn placer(tasks: usize, view: View<'_>, writer: &mut Writer) -> Placer {
     let options = placer::Options {
-        sweep_ms: NEVER_MS,
+        sweep_ms: NO_SWEEP_MS,
         shards: 1,
         ..placer::Options::default()
     };
@@ -106,7 +106,7 @@
     let read = Event::Read(key, Fetched::Found(Revision(1), page));
     let mut effects = placer.step(Millis(0), read, view, writer);
     // Its first writes bring the homes in line with the intents.
-    for round in 1..=MOST_WRITES {
+    for round in 1..=MAX_WRITES {
         let written = effects
             .iter()
             .any(|effect| matches!(effect, Effect::Swap(..)));
--- a/crates/stackpier-load/src/capacity/fit.rs
+++ b/crates/stackpier-load/src/capacity/fit.rs
@@ -12,8 +12,8 @@
     pub worst_error: f64,
 }
 
-/// line fits points of count and value.
-pub fn line(points: &[(f64, f64)]) -> Line {
+/// fit_line fits points of count and value.
+pub fn fit_line(points: &[(f64, f64)]) -> Line {
     let count = points.len() as f64;
     let mean = |values: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(values).sum::<f64>() / count;
     let (mean_x, mean_y) = (mean(&|p| p.0), mean(&|p| p.1));
--- a/crates/stackpier-load/src/cell/site.rs
+++ b/crates/stackpier-load/src/cell/deployment.rs
@@ -7,7 +7,7 @@
 use stackpier_core::Size;
 use stackpier_state::job::{Queue, Spec, Step};
 
-use super::truth::{Pairs, Serving};
+use super::ground_truth::{Pairs, Serving};
 
 /// SERVICE names the only service.
 pub const SERVICE: &str = "service";
@@ -20,7 +20,7 @@
     /// They count in a worker's room and end by themselves.
     Short,
     /// They use what others leave unused.
-    Filling,
+    BestEffort,
     /// They last and serve.
     Serving,
 }
@@ -45,7 +45,7 @@
     /// The mean size of a task, in cores and GiB.
     pub size: (f64, f64),
     /// How far estimates are off, as a share.
-    pub estimate_off: f64,
+    pub estimate_error: f64,
     /// The objective over the chain of work.
     pub stretch: f64,
     /// What the objective allows besides, in milliseconds.
@@ -55,20 +55,20 @@
     /// How many failed runs fail a job.
     pub attempts: u16,
     /// What a job earns in time, or a serving one every two seconds.
-    pub worth: f64,
+    pub value: f64,
     /// What it earns late.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// The number of images.
     pub images: usize,
     /// The share of steps of which a worker may have one task only.
-    pub apart: f64,
+    pub one_per_worker: f64,
     /// The share of runs that fail by their own fault.
-    pub fails: f64,
+    pub failure_share: f64,
 }
 
-/// Site is a deployment.
+/// Deployment is a deployment.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct Deployment {
     /// The number of workers.
     pub workers: usize,
     /// Workers in a rack.
@@ -99,11 +99,11 @@
     }
 }
 
-/// around draws a value around a mean, skewed as sizes of jobs are: some are several
+/// draw_around draws a value around a mean, skewed as sizes of jobs are: some are several
 /// times the mean.
-fn around<R: Rng>(random: &mut R, mean: f64) -> f64 {
-    let draws = -(1.0 - random.random::<f64>()).ln();
-    mean * (0.5 + 0.5 * draws)
+fn draw_around<R: Rng>(random: &mut R, mean: f64) -> f64 {
+    let factor = -(1.0 - random.random::<f64>()).ln();
+    mean * (0.5 + 0.5 * factor)
 }
 
 impl Kind {
@@ -123,13 +123,13 @@
 
     /// draw draws a job: its description, and the work of a task of each step.
     pub fn draw<R: Rng>(&self, random: &mut R, serving: &Serving) -> Drawn {
-        let count = around(random, self.steps).round().max(1.0) as u16;
+        let count = draw_around(random, self.steps).round().max(1.0) as u16;
         let mut steps = Vec::new();
         let mut work_ms = Vec::new();
         let mut images = Vec::new();
         for number in 0..count {
             let image = random.random_range(0..self.images);
-            let work = around(random, self.work_ms).max(50.0);
+            let work = draw_around(random, self.work_ms).max(50.0);
             steps.push(self.draw_step(random, number, image, work, serving));
             work_ms.push(work as u64);
             images.push(image);
@@ -155,25 +155,25 @@
         work_ms: f64,
         serving: &Serving,
     ) -> Step {
-        let (width, most) = self.width;
+        let (width, max_width) = self.width;
         let (cores, gib) = self.size;
-        let off = random.random_range(-self.estimate_off..=self.estimate_off);
+        let error_share = random.random_range(-self.estimate_error..=self.estimate_error);
         let lasts = self.role == Role::Serving;
         Step {
-            count: (around(random, width) as u32).clamp(1, most),
+            count: (draw_around(random, width) as u32).clamp(1, max_width),
             size: size(
                 cores * random.random_range(0.7..=1.3),
                 gib * random.random_range(0.7..=1.3),
             ),
-            estimate_ms: (work_ms * (1.0 + off)).max(50.0) as u32,
+            estimate_ms: (work_ms * (1.0 + error_share)).max(50.0) as u32,
             after: number.checked_sub(1).into_iter().collect(),
-            checkpointing: self.role == Role::Filling,
+            checkpointing: self.role == Role::BestEffort,
             long_running: lasts,
             image: image_name(self, image),
             target_ms: if lasts { serving.target_ms() } else { 0 },
-            best_effort: self.role == Role::Filling,
+            best_effort: self.role == Role::BestEffort,
             may_miss: lasts.then_some(1),
-            most_per_worker: random.random_bool(self.apart).then_some(1),
+            most_per_worker: random.random_bool(self.one_per_worker).then_some(1),
             ..Step::default()
         }
     }
--- a/crates/stackpier-load/src/cell/fault.rs
+++ b/crates/stackpier-load/src/cell/fault.rs
@@ -24,9 +24,9 @@
     Cancels(f64),
 }
 
-/// Trouble is a fault with its time.
+/// TimedFault is a fault with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trouble {
+pub struct TimedFault {
     /// When it begins, in milliseconds.
     pub at_ms: u64,
     /// How long it goes on.
@@ -35,15 +35,15 @@
     pub fault: Fault,
 }
 
-impl Trouble {
-    /// is_on tells whether it goes on at a time.
-    pub fn is_on(&self, now_ms: u64) -> bool {
+impl TimedFault {
+    /// is_active tells whether it goes on at a time.
+    pub fn is_active(&self, now_ms: u64) -> bool {
         (self.at_ms..self.at_ms + self.for_ms).contains(&now_ms)
     }
 }
 
-/// part returns the places of a share of some workers, from a place on.
-pub fn part(workers: usize, from: usize, share: f64) -> std::ops::Range<usize> {
+/// worker_range returns the places of a share of some workers, from a place on.
+pub fn worker_range(workers: usize, from: usize, share: f64) -> std::ops::Range<usize> {
     let count = (workers as f64 * share).round() as usize;
     from..(from + count).min(workers)
 }
--- a/crates/stackpier-load/src/cell/truth.rs
+++ b/crates/stackpier-load/src/cell/ground_truth.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Pairs {
     /// The share of pairs that press hard.
-    pub heavy: f64,
+    pub heavy_share: f64,
     /// The load that one core of a heavy pair adds: least and most.
-    pub hard: (f64, f64),
+    pub heavy_range: (f64, f64),
     /// The same for the others.
-    pub light: (f64, f64),
+    pub light_range: (f64, f64),
 }
 
 /// Serving is how serving tasks behave.
@@ -52,35 +52,35 @@
     }
 }
 
-/// Truth is what is true of all images.
+/// GroundTruth is what is true of all images.
 #[derive(Clone, Debug)]
-pub struct Truth {
+pub struct GroundTruth {
     /// How serving tasks behave.
     pub serving: Serving,
     /// By serving, then by filling image: the load that one core adds.
     coefficients: Vec<Vec<f64>>,
 }
 
-impl Truth {
+impl GroundTruth {
     /// draw draws the pairs of some serving and filling images.
     pub fn draw<R: Rng>(
         random: &mut R,
         serving: Serving,
         pairs: Pairs,
         images: (usize, usize),
-    ) -> Truth {
-        let (serving_images, filling_images) = images;
+    ) -> GroundTruth {
+        let (serving_images, best_effort_images) = images;
         let mut coefficient = || {
-            let (low, high) = match random.random_bool(pairs.heavy) {
-                true => pairs.hard,
-                false => pairs.light,
+            let (low, high) = match random.random_bool(pairs.heavy_share) {
+                true => pairs.heavy_range,
+                false => pairs.light_range,
             };
             random.random_range(low..=high)
         };
         let coefficients = (0..serving_images)
-            .map(|_| (0..filling_images).map(|_| coefficient()).collect())
+            .map(|_| (0..best_effort_images).map(|_| coefficient()).collect())
             .collect();
-        Truth {
+        GroundTruth {
             serving,
             coefficients,
         }
@@ -88,8 +88,8 @@
 
     /// coefficient returns the load that one core of a filling image adds to a serving
     /// one.
-    pub fn coefficient(&self, serving: usize, filling: usize) -> f64 {
-        self.coefficients[serving][filling]
+    pub fn coefficient(&self, serving: usize, best_effort: usize) -> f64 {
+        self.coefficients[serving][best_effort]
     }
 
     /// own_load returns the load of a serving task without what fills beside it. The
@@ -105,10 +105,11 @@
         load * (1.0 + swing * angle.sin())
     }
 
-    /// added returns the load that filling images add to a serving one, by the cores
+    /// added_load returns the load that filling images add to a serving one, by the cores
     /// that each uses.
-    pub fn added(&self, serving: usize, cores: &BTreeMap<usize, f64>) -> f64 {
-        let part = |(filling, cores): (&usize, &f64)| self.coefficient(serving, *filling) * cores;
-        cores.iter().map(part).sum()
+    pub fn added_load(&self, serving: usize, cores: &BTreeMap<usize, f64>) -> f64 {
+        let load_of =
+            |(best_effort, cores): (&usize, &f64)| self.coefficient(serving, *best_effort) * cores;
+        cores.iter().map(load_of).sum()
     }
 }
--- a/crates/stackpier-load/src/cell/job.rs
+++ b/crates/stackpier-load/src/cell/job.rs
@@ -3,7 +3,7 @@
 
 use stackpier_standin::fleet::Behaviour;
 
-use super::site::{Drawn, Kind, LATE_FACTOR, Role};
+use super::deployment::{Drawn, Kind, LATE_FACTOR, Role};
 
 /// Job is a job that a client account handed in, or tries to.
 #[derive(Clone, Debug)]
@@ -19,20 +19,20 @@
     /// Whether it is over: done, cancelled or given up.
     pub over: bool,
     /// When a task of it first started.
-    pub first_ms: Option<u64>,
+    pub first_start_ms: Option<u64>,
     /// The tasks of the first step that have started, by their place.
-    pub begun: Vec<bool>,
+    pub started: Vec<bool>,
     /// Sums over the samples of a serving job since it was last paid.
-    pub served: Served,
+    pub tally: ServingTally,
 }
 
-/// Served sums up the samples of a serving job.
+/// ServingTally sums up the samples of a serving job.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Served {
+pub struct ServingTally {
     /// Tasks that were to be at work.
-    pub asked: u32,
+    pub expected: u32,
     /// Tasks at work.
-    pub at_work: u32,
+    pub running: u32,
     /// Tasks over their target, or paced down.
     pub over: u32,
     /// Of these, tasks that would not be without what fills beside them.
@@ -43,14 +43,14 @@
 /// fills beside it.
 const HARM_FACTOR: f64 = 4.0;
 
-impl Served {
+impl ServingTally {
     /// share returns the share of what was owed that was earned.
     pub fn share(&self) -> f64 {
-        if self.asked == 0 {
+        if self.expected == 0 {
             return 1.0;
         }
         let over = f64::from(self.over - self.harmed) + HARM_FACTOR * f64::from(self.harmed);
-        ((f64::from(self.at_work) - over) / f64::from(self.asked)).max(0.0)
+        ((f64::from(self.running) - over) / f64::from(self.expected)).max(0.0)
     }
 }
 
@@ -64,9 +64,9 @@
             sent_ms: now_ms,
             accepted: false,
             over: false,
-            first_ms: None,
-            begun: vec![false; width],
-            served: Served::default(),
+            first_start_ms: None,
+            started: vec![false; width],
+            tally: ServingTally::default(),
         }
     }
 
@@ -76,13 +76,13 @@
         (chain as f64 * self.kind.stretch) as u64 + u64::from(self.kind.target_ms)
     }
 
-    /// earns returns what it earns if it is done after some milliseconds.
-    pub fn earns(&self, took_ms: u64) -> f64 {
+    /// value_after returns what it earns if it is done after some milliseconds.
+    pub fn value_after(&self, took_ms: u64) -> f64 {
         let objective = self.objective_ms();
         if took_ms <= objective {
-            self.kind.worth
+            self.kind.value
         } else if took_ms as f64 <= objective as f64 * LATE_FACTOR {
-            self.kind.late_worth
+            self.kind.late_value
         } else {
             0.0
         }
@@ -90,15 +90,15 @@
 
     /// behaviour returns what a task of a step does.
     pub fn behaviour(&self, step: u16) -> Behaviour {
-        let place = usize::from(step);
-        let shape = &self.drawn.spec.steps[place];
+        let index = usize::from(step);
+        let shape = &self.drawn.spec.steps[index];
         let mut size = shape.size;
         let mut fills_milli = 0;
         if shape.best_effort {
             fills_milli = std::mem::take(&mut size.milli_cores);
         }
         Behaviour {
-            work_ms: self.drawn.work_ms[place],
+            work_ms: self.drawn.work_ms[index],
             size,
             fills_milli,
             saves: shape.checkpointing,
--- a/crates/stackpier-load/src/cell/outcome.rs
+++ b/crates/stackpier-load/src/cell/outcome.rs
@@ -6,9 +6,9 @@
 use serde::Serialize;
 use stackpier_cell::{Event, Renewed};
 
-/// Told is what the owner is told by an event.
+/// EventKind is what the owner is told by an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum Told {
+pub enum EventKind {
     /// A worker's report in which nothing ended.
     Report,
     /// A worker's report with ends.
@@ -21,17 +21,17 @@
     Other,
 }
 
-impl From<&Event> for Told {
-    fn from(event: &Event) -> Told {
+impl From<&Event> for EventKind {
+    fn from(event: &Event) -> EventKind {
         match event {
             Event::Renewed {
                 outcome: Renewed::Report(report),
                 ..
-            } if report.ended.is_empty() => Told::Report,
-            Event::Renewed { .. } => Told::Ends,
-            Event::Tick => Told::Tick,
-            Event::Accepted { .. } | Event::Cancelled(_) => Told::Job,
-            _ => Told::Other,
+            } if report.ended.is_empty() => EventKind::Report,
+            Event::Renewed { .. } => EventKind::Ends,
+            Event::Tick => EventKind::Tick,
+            Event::Accepted { .. } | Event::Cancelled(_) => EventKind::Job,
+            _ => EventKind::Other,
         }
     }
 }
@@ -48,24 +48,24 @@
     /// Jobs done late, but early enough to earn something.
     pub late: u64,
     /// What was owed.
-    pub owed: f64,
+    pub achievable: f64,
     /// What was earned.
     pub earned: f64,
     /// The time from the hand-in of each job to its first start, in milliseconds.
     #[serde(skip)]
-    pub first_ms: Vec<u64>,
+    pub first_start_ms: Vec<u64>,
     /// The time from the first to the last first start of a job's first step.
     #[serde(skip)]
     pub spread_ms: Vec<u64>,
 }
 
 impl ByKind {
-    /// share returns what was earned of what was owed.
-    pub fn share(&self) -> f64 {
-        if self.owed == 0.0 {
+    /// goodput returns what was earned of what was owed.
+    pub fn goodput(&self) -> f64 {
+        if self.achievable == 0.0 {
             return 1.0;
         }
-        self.earned / self.owed
+        self.earned / self.achievable
     }
 }
 
@@ -73,9 +73,9 @@
 pub fn percentile(times: &[u64], share: f64) -> u64 {
     let mut sorted = times.to_vec();
     sorted.sort_unstable();
-    let place = (sorted.len() as f64 * share) as usize;
+    let index = (sorted.len() as f64 * share) as usize;
     let last = sorted.len().saturating_sub(1);
-    sorted.get(place.min(last)).copied().unwrap_or(0)
+    sorted.get(index.min(last)).copied().unwrap_or(0)
 }
 
 /// Outcome is what came of a day.
@@ -90,9 +90,9 @@
     /// Runs that were told to stop.
     pub stops: u64,
     /// Starts of filling tasks on workers that serve nothing.
-    pub filled_apart: u64,
+    pub best_effort_starts_apart: u64,
     /// Starts of filling tasks.
-    pub filled: u64,
+    pub best_effort_starts: u64,
     /// Seconds, over all serving tasks, over the target because of what fills beside.
     pub harmed_s: f64,
     /// Seconds, over all serving tasks, that they should have been at work and were not.
@@ -102,18 +102,18 @@
     /// Ratings of workers that placing did.
     pub ratings: u64,
     /// The most ratings that placing did in one call.
-    pub most_ratings: u64,
+    pub max_ratings: u64,
     /// How long each call of the owner's decisions took, by the real clock, and by what
     /// it was told.
-    pub step_times: BTreeMap<Told, Vec<Duration>>,
+    pub step_times: BTreeMap<EventKind, Vec<Duration>>,
 }
 
 impl Outcome {
-    /// share returns what was earned of what was owed, over all kinds.
-    pub fn share(&self) -> f64 {
-        let owed: f64 = self.kinds.values().map(|kind| kind.owed).sum();
+    /// goodput returns what was earned of what was owed, over all kinds.
+    pub fn goodput(&self) -> f64 {
+        let achievable: f64 = self.kinds.values().map(|kind| kind.achievable).sum();
         let earned: f64 = self.kinds.values().map(|kind| kind.earned).sum();
-        earned / owed.max(f64::EPSILON)
+        earned / achievable.max(f64::EPSILON)
     }
 
     /// of returns what came of a kind.
--- a/crates/stackpier-load/src/cell/pattern.rs
+++ b/crates/stackpier-load/src/cell/pattern.rs
@@ -8,39 +8,39 @@
 use stackpier_standin::fleet::listing::Listing;
 
 use super::{
-    fault::{Fault, Trouble},
-    site::{Kind, Role, Site},
-    truth::{Pairs, Serving},
-    world::Day,
+    deployment::{Deployment, Kind, Role},
+    fault::{Fault, TimedFault},
+    ground_truth::{Pairs, Serving},
+    simulation::Scenario,
 };
 
 /// SHORT names the kind of the short tasks.
 pub const SHORT: &str = "order-intake";
-/// FILLING names the kind of the filling tasks.
-pub const FILLING: &str = "bake-plan";
+/// BEST_EFFORT names the kind of the filling tasks.
+pub const BEST_EFFORT: &str = "bake-plan";
 /// SERVING names the kind of the tasks that last.
 pub const SERVING: &str = "route-watch";
-/// FILLING_PLACE is the place of the filling kind.
-const FILLING_PLACE: usize = 1;
+/// BEST_EFFORT_INDEX is the place of the filling kind.
+const BEST_EFFORT_INDEX: usize = 1;
 /// USUAL are the pairs of most days: a good half presses, but few so hard that a start
 /// of seven cores moves a load of 0.45 over its limit.
 const USUAL: Pairs = Pairs {
-    heavy: 0.25,
-    hard: (0.03, 0.06),
-    light: (0.001, 0.008),
+    heavy_share: 0.25,
+    heavy_range: (0.03, 0.06),
+    light_range: (0.001, 0.008),
 };
 /// HARD are the pairs of the days on which most disturb each other: what was learnt on
 /// one such day had 0.03 to 0.09 for six pairs of ten.
 const HARD: Pairs = Pairs {
-    heavy: 0.75,
-    hard: (0.03, 0.09),
-    light: (0.001, 0.008),
+    heavy_share: 0.75,
+    heavy_range: (0.03, 0.09),
+    light_range: (0.001, 0.008),
 };
 
-/// site returns the deployment: 66 workers of 64 cores, of which serving tasks hold 94%
+/// deployment returns the deployment: 66 workers of 64 cores, of which serving tasks hold 94%
 /// at the beginning and less as they end.
-pub fn site() -> Site {
-    Site {
+pub fn deployment() -> Deployment {
+    Deployment {
         workers: 66,
         per_rack: 11,
         capacity: Size {
@@ -58,36 +58,36 @@
                 width: (6.0, 36),
                 work_ms: 800.0,
                 size: (6.3, 13.0),
-                estimate_off: 0.5,
+                estimate_error: 0.5,
                 stretch: 1.5,
                 target_ms: 250,
                 priority: 0,
                 attempts: 3,
-                worth: 0.383,
-                late_worth: 0.0575,
+                value: 0.383,
+                late_value: 0.0575,
                 images: 1,
-                apart: 0.15,
-                fails: 0.05,
+                one_per_worker: 0.15,
+                failure_share: 0.05,
             },
             Kind {
-                name: FILLING,
-                role: Role::Filling,
+                name: BEST_EFFORT,
+                role: Role::BestEffort,
                 per_s: 8.8,
                 at_start: 15,
                 steps: 2.0,
                 width: (8.0, 32),
                 work_ms: 1_700.0,
                 size: (7.0, 13.0),
-                estimate_off: 0.9,
+                estimate_error: 0.9,
                 stretch: 2.0,
                 target_ms: 1_000,
                 priority: 2,
                 attempts: 2,
-                worth: 1.11,
-                late_worth: 0.166,
+                value: 1.11,
+                late_value: 0.166,
                 images: 9,
-                apart: 0.0,
-                fails: 0.05,
+                one_per_worker: 0.0,
+                failure_share: 0.05,
             },
             Kind {
                 name: SERVING,
@@ -98,16 +98,16 @@
                 width: (6.0, 12),
                 work_ms: 70_000.0,
                 size: (13.0, 26.0),
-                estimate_off: 0.2,
+                estimate_error: 0.2,
                 stretch: 2.2,
                 target_ms: 2_500,
                 priority: 0,
                 attempts: 2,
-                worth: 0.306,
-                late_worth: 0.0459,
+                value: 0.306,
+                late_value: 0.0459,
                 images: 5,
-                apart: 0.5,
-                fails: 0.03,
+                one_per_worker: 0.5,
+                failure_share: 0.03,
             },
         ],
         pairs: USUAL,
@@ -131,7 +131,7 @@
     HeavyPairs,
     /// A third of the workers, a data centre, is cut off while the room is full.
     CutWhenFull,
-    /// Filling jobs come 2.6 times as often for four seconds, with wide steps.
+    /// BestEffort jobs come 2.6 times as often for four seconds, with wide steps.
     WideBurst,
     /// Workers are slow, fail what they start, or stand still, one after the other and
     /// together; orders are carried out late.
@@ -163,39 +163,39 @@
         }
     }
 
-    /// day returns the pattern as a day.
-    pub fn day(self) -> Day {
-        let mut site = site();
+    /// scenario returns the pattern as a day.
+    pub fn scenario(self) -> Scenario {
+        let mut deployment = deployment();
         if self == Pattern::HeavyPairs {
-            site.pairs = HARD;
+            deployment.pairs = HARD;
         }
-        Day {
-            site,
-            troubles: self.troubles(),
+        Scenario {
+            deployment,
+            timed_faults: self.timed_faults(),
             options: Options::default(),
             known_pairs: false,
             listing: Listing::default(),
         }
     }
 
-    fn troubles(self) -> Vec<Trouble> {
-        let trouble = |at_ms, for_ms, fault| Trouble {
+    fn timed_faults(self) -> Vec<TimedFault> {
+        let timed_fault = |at_ms, for_ms, fault| TimedFault {
             at_ms,
             for_ms,
             fault,
         };
-        let burst = trouble(14_000, 4_000, Fault::Burst(FILLING_PLACE, 2.6));
+        let burst = timed_fault(14_000, 4_000, Fault::Burst(BEST_EFFORT_INDEX, 2.6));
         match self {
             Pattern::Calm | Pattern::HeavyPairs => Vec::new(),
-            Pattern::CutWhenFull => vec![trouble(12_000, 5_500, Fault::Cut(1.0 / 3.0))],
+            Pattern::CutWhenFull => vec![timed_fault(12_000, 5_500, Fault::Cut(1.0 / 3.0))],
             Pattern::WideBurst => vec![burst],
             Pattern::BadWorkers => vec![
-                trouble(4_000, 7_000, Fault::Slow(0.17, 15)),
-                trouble(8_000, 6_500, Fault::Errors(0.085)),
-                trouble(16_000, 5_500, Fault::Hang(0.1)),
-                trouble(18_000, 5_500, Fault::LateOrders(0.055)),
+                timed_fault(4_000, 7_000, Fault::Slow(0.17, 15)),
+                timed_fault(8_000, 6_500, Fault::Errors(0.085)),
+                timed_fault(16_000, 5_500, Fault::Hang(0.1)),
+                timed_fault(18_000, 5_500, Fault::LateOrders(0.055)),
             ],
-            Pattern::StoreAway => vec![burst, trouble(15_000, 4_500, Fault::StoreAway)],
+            Pattern::StoreAway => vec![burst, timed_fault(15_000, 4_500, Fault::StoreAway)],
         }
     }
 }
--- a/crates/stackpier-load/src/cell/world/calls.rs
+++ b/crates/stackpier-load/src/cell/simulation/calls.rs
@@ -9,8 +9,8 @@
 use stackpier_standin::fleet::{Run, Worker};
 
 use super::{
-    super::{fault::Fault, site::Role},
-    Happening, World,
+    super::{deployment::Role, fault::Fault},
+    ScheduledEvent, Simulation,
 };
 
 /// FLIGHT_MS is the time of a call to a worker, one way.
@@ -19,26 +19,29 @@
 const STORE_MS: u64 = 6;
 /// GIVE_UP_MS is when a call without an answer is given up.
 const GIVE_UP_MS: u64 = 700;
-/// LATEST_MS is how late an order without an answer may be carried out.
-const LATEST_MS: u64 = 3_000;
+/// MAX_LATE_MS is how late an order without an answer may be carried out.
+const MAX_LATE_MS: u64 = 3_000;
 
-impl World {
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+impl Simulation {
+    pub(super) fn execute_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Log(_) | Effect::RequestAdvice(_) | Effect::TakeDown(_) | Effect::Deposed => {}
             Effect::Save(_) => {
                 let saved = !self.store_is_away();
                 let after = if saved { STORE_MS } else { GIVE_UP_MS };
-                self.send(after, Happening::Event(Box::new(Event::Saved(saved))));
+                self.schedule(after, ScheduledEvent::Event(Box::new(Event::Saved(saved))));
             }
             Effect::Confirm if self.store_is_away() => {
-                self.send(GIVE_UP_MS, Happening::ConfirmFailed);
+                self.schedule(GIVE_UP_MS, ScheduledEvent::ConfirmFailed);
             }
             Effect::Confirm => {
                 let sent = Millis(self.now_ms);
-                self.send(STORE_MS, Happening::Event(Box::new(Event::Confirmed(sent))));
+                self.schedule(
+                    STORE_MS,
+                    ScheduledEvent::Event(Box::new(Event::Confirmed(sent))),
+                );
             }
-            call => self.send(FLIGHT_MS, Happening::Deliver(Box::new(call))),
+            call => self.schedule(FLIGHT_MS, ScheduledEvent::Deliver(Box::new(call))),
         }
     }
 
@@ -47,18 +50,18 @@
         match effect {
             Effect::Start(start) => self.deliver_start(start),
             Effect::Stop(stop) => {
-                let place = place(&stop.order.address);
-                let outcome = match self.is_cut(place) {
+                let index = worker_index(&stop.order.address);
+                let outcome = match self.is_cut(index) {
                     true => Stopped::Silent,
-                    false => self.workers[place].stop(self.now_ms, &stop),
+                    false => self.workers[index].stop(self.now_ms, &stop),
                 };
                 self.outcome.stops += 1;
                 let run = stop.order.key;
                 self.answer(outcome == Stopped::Silent, Event::Stopped { run, outcome });
             }
             Effect::Pace(pace) => {
-                let place = place(&pace.order.address);
-                let taken = !self.is_cut(place) && self.workers[place].pace(self.now_ms, &pace);
+                let index = worker_index(&pace.order.address);
+                let taken = !self.is_cut(index) && self.workers[index].pace(self.now_ms, &pace);
                 let event = Event::Paced {
                     run: pace.order.key,
                     percent: pace.percent,
@@ -66,7 +69,7 @@
                 };
                 self.answer(!taken, event);
             }
-            Effect::Renew(hold) => self.deliver_hold(hold),
+            Effect::Renew(renewal) => self.deliver_renewal(renewal),
             _ => {}
         }
     }
@@ -74,13 +77,13 @@
     /// answer sends an answer back, or lets the call be given up.
     fn answer(&mut self, silent: bool, event: Event) {
         let after = if silent { GIVE_UP_MS } else { FLIGHT_MS };
-        self.send(after, Happening::Event(Box::new(event)));
+        self.schedule(after, ScheduledEvent::Event(Box::new(event)));
     }
 
     fn deliver_start(&mut self, start: Start) {
-        let place = place(&start.order.address);
+        let index = worker_index(&start.order.address);
         let run = start.order.key;
-        let late = self.faults().find_map(|fault| match fault {
+        let late = self.active_faults().find_map(|fault| match fault {
             Fault::LateOrders(share) => Some(share),
             _ => None,
         });
@@ -89,17 +92,17 @@
             run,
             outcome: Started::Silent,
         };
-        if self.is_cut(place) {
+        if self.is_cut(index) {
             self.answer(true, silent);
         } else if is_late {
             self.answer(true, silent);
-            let after = self.random.random_range(GIVE_UP_MS..LATEST_MS);
-            self.send(
+            let after = self.random.random_range(GIVE_UP_MS..MAX_LATE_MS);
+            self.schedule(
                 after,
-                Happening::DeliverLate(Box::new(Effect::Start(start))),
+                ScheduledEvent::DeliverLate(Box::new(Effect::Start(start))),
             );
         } else {
-            let outcome = self.take_start(&start, place);
+            let outcome = self.start_run(&start, index);
             self.answer(false, Event::Started { run, outcome });
         }
     }
@@ -107,33 +110,33 @@
     /// deliver_late carries out an order that was given up.
     pub(super) fn deliver_late(&mut self, effect: Effect) {
         if let Effect::Start(start) = effect {
-            let place = place(&start.order.address);
-            self.take_start(&start, place);
+            let index = worker_index(&start.order.address);
+            self.start_run(&start, index);
         }
     }
 
-    fn take_start(&mut self, start: &Start, place: usize) -> Started {
+    fn start_run(&mut self, start: &Start, index: usize) -> Started {
         let task = start.order.task;
         let job = &self.jobs[&task.job.0];
         let mut behaviour = job.behaviour(task.step);
-        if self.random.random_bool(job.kind.fails) {
+        if self.random.random_bool(job.kind.failure_share) {
             behaviour.fail_after(self.random.random_range(0.0..=1.0));
         }
-        let best_effort = job.kind.role == Role::Filling;
-        let apart = !self.workers[place].runs.iter().any(serves);
-        let outcome = self.workers[place].start(self.now_ms, start, behaviour);
+        let best_effort = job.kind.role == Role::BestEffort;
+        let apart = !self.workers[index].runs.iter().any(is_serving);
+        let outcome = self.workers[index].start(self.now_ms, start, behaviour);
         if outcome == Started::Yes {
-            self.outcome.repeats += u64::from(self.is_done(task));
+            self.outcome.repeats += u64::from(self.has_finished(task));
             self.outcome.starts += 1;
-            self.outcome.filled += u64::from(best_effort);
-            self.outcome.filled_apart += u64::from(best_effort && apart);
-            self.note_begin(task);
+            self.outcome.best_effort_starts += u64::from(best_effort);
+            self.outcome.best_effort_starts_apart += u64::from(best_effort && apart);
+            self.record_first_start(task);
         }
         outcome
     }
 
-    /// is_done tells whether a run of a task has ended as done.
-    fn is_done(&self, task: TaskName) -> bool {
+    /// has_finished tells whether a run of a task has ended as done.
+    fn has_finished(&self, task: TaskName) -> bool {
         let ends = |worker: &Worker| {
             let mut all = worker.ends.iter().chain(&worker.noted);
             all.any(|end| end.task == task && end.cause == EndCause::Done)
@@ -141,42 +144,42 @@
         self.workers.iter().any(ends)
     }
 
-    /// deliver_hold answers a hold at once, or when an end is due, or when its wait is
+    /// deliver_renewal answers a hold at once, or when an end is due, or when its wait is
     /// over.
-    fn deliver_hold(&mut self, hold: Renewal) {
-        let place = place(&hold.address);
+    fn deliver_renewal(&mut self, renewal: Renewal) {
+        let index = worker_index(&renewal.address);
         let sent_ms = self.now_ms - FLIGHT_MS;
-        if self.is_cut(place) {
+        if self.is_cut(index) {
             let silent = Event::Renewed {
-                worker: hold.worker,
+                worker: renewal.worker,
                 sent: Millis(sent_ms),
                 outcome: Renewed::Silent,
             };
             self.answer(true, silent);
             return;
         }
-        let worker = &mut self.workers[place];
+        let worker = &mut self.workers[index];
         worker.advance(self.now_ms);
-        let unnoted = worker.ends.iter().any(|end| end.number > hold.acked);
+        let has_unacked = worker.ends.iter().any(|end| end.number > renewal.acked);
         let ends = worker.runs.iter().filter_map(Run::left_ms).min();
-        let wait_ms = match unnoted {
+        let wait_ms = match has_unacked {
             true => 0,
-            false => hold
+            false => renewal
                 .wait_ms
                 .min(ends.map_or(u64::MAX, |left_ms| left_ms + 1)),
         };
-        self.send(wait_ms, Happening::Answer(Box::new(hold), sent_ms));
+        self.schedule(wait_ms, ScheduledEvent::Answer(Box::new(renewal), sent_ms));
     }
 
-    pub(super) fn answer_hold(&mut self, hold: &Renewal, sent_ms: u64) {
-        let place = place(&hold.address);
-        self.set_tails(place);
-        let outcome = match self.is_cut(place) {
+    pub(super) fn answer_renewal(&mut self, renewal: &Renewal, sent_ms: u64) {
+        let index = worker_index(&renewal.address);
+        self.set_tails(index);
+        let outcome = match self.is_cut(index) {
             true => Renewed::Silent,
-            false => self.workers[place].hold(self.now_ms, hold),
+            false => self.workers[index].hold(self.now_ms, renewal),
         };
         let event = Event::Renewed {
-            worker: hold.worker,
+            worker: renewal.worker,
             sent: Millis(sent_ms),
             outcome,
         };
@@ -184,12 +187,12 @@
     }
 }
 
-/// serves tells whether a run serves.
-pub(super) fn serves(run: &Run) -> bool {
+/// is_serving tells whether a run serves.
+pub(super) fn is_serving(run: &Run) -> bool {
     run.behaviour().tail_ms.is_some()
 }
 
-/// place reads a worker's place from its address.
-fn place(address: &str) -> usize {
+/// index reads a worker's place from its address.
+fn worker_index(address: &str) -> usize {
     address.parse().expect("addresses are the workers' places")
 }
--- a/crates/stackpier-load/src/cell/world/watch.rs
+++ b/crates/stackpier-load/src/cell/simulation/sampling.rs
@@ -6,15 +6,15 @@
 use stackpier_standin::fleet::Run;
 
 use super::{
-    super::{outcome::Outcome, site::Role},
-    Happening, World,
-    calls::serves,
+    super::{deployment::Role, outcome::Outcome},
+    ScheduledEvent, Simulation,
+    calls::is_serving,
 };
 
 /// SAMPLE_MS is the time between two looks at what serves.
 pub(super) const SAMPLE_MS: u64 = 250;
-/// PAY_MS is the time after which serving jobs earn.
-pub(super) const PAY_MS: u64 = 2_000;
+/// CREDIT_MS is the time after which serving jobs earn.
+pub(super) const CREDIT_MS: u64 = 2_000;
 /// CORE is the number of thousandths in a core.
 const CORE: f64 = 1_000.0;
 /// PERCENT is the number of hundredths in a whole.
@@ -25,24 +25,24 @@
 /// Load is the load of a serving run.
 struct Load {
     own: f64,
-    added: f64,
+    added_load: f64,
 }
 
-impl World {
+impl Simulation {
     /// set_tails sets the tails that the serving runs on a worker report now.
-    pub(super) fn set_tails(&mut self, place: usize) {
-        let loads = self.loads(place);
-        let serving = self.truth.serving;
-        for (run, load) in self.workers[place].runs.iter_mut().zip(loads) {
-            if let Some(Load { own, added }) = load {
-                run.set_tail(serving.tail_at(own + added));
+    pub(super) fn set_tails(&mut self, index: usize) {
+        let loads = self.loads(index);
+        let serving = self.ground_truth.serving;
+        for (run, load) in self.workers[index].runs.iter_mut().zip(loads) {
+            if let Some(Load { own, added_load }) = load {
+                run.set_tail(serving.tail_at(own + added_load));
             }
         }
     }
 
     /// loads returns the load of each run on a worker that serves.
-    fn loads(&self, place: usize) -> Vec<Option<Load>> {
-        let runs = &self.workers[place].runs;
+    fn loads(&self, index: usize) -> Vec<Option<Load>> {
+        let runs = &self.workers[index].runs;
         let image = |run: &Run| {
             let job = &self.jobs[&run.task.job.0];
             job.drawn.images[usize::from(run.task.step)]
@@ -54,9 +54,9 @@
             *cores.entry(image(run)).or_default() += used;
         }
         let load = |run: &Run| {
-            serves(run).then(|| Load {
-                own: self.truth.own_load(self.phase(run), self.now_ms),
-                added: self.truth.added(image(run), &cores),
+            is_serving(run).then(|| Load {
+                own: self.ground_truth.own_load(self.phase(run), self.now_ms),
+                added_load: self.ground_truth.added_load(image(run), &cores),
             })
         };
         runs.iter().map(load).collect()
@@ -69,51 +69,52 @@
 
     /// sample looks at all that serves.
     pub(super) fn sample(&mut self) {
-        let limit = self.truth.serving.load_at_target();
+        let limit = self.ground_truth.serving.load_at_target();
         let seconds = SAMPLE_MS as f64 / SECOND;
-        for place in 0..self.workers.len() {
-            self.workers[place].advance(self.now_ms);
-            let loads = self.loads(place);
-            let runs = self.workers[place].runs.iter().map(|run| run.task);
+        for index in 0..self.workers.len() {
+            self.workers[index].advance(self.now_ms);
+            let loads = self.loads(index);
+            let runs = self.workers[index].runs.iter().map(|run| run.task);
             for (task, load) in runs.collect::<Vec<_>>().into_iter().zip(loads) {
-                let (Some(Load { own, added }), Some(job)) = (load, self.jobs.get_mut(&task.job.0))
+                let (Some(Load { own, added_load }), Some(job)) =
+                    (load, self.jobs.get_mut(&task.job.0))
                 else {
                     continue;
                 };
-                let over = own + added > limit;
+                let over = own + added_load > limit;
                 let harmed = over && own <= limit;
-                job.served.at_work += 1;
-                job.served.over += u32::from(over);
-                job.served.harmed += u32::from(harmed);
+                job.tally.running += 1;
+                job.tally.over += u32::from(over);
+                job.tally.harmed += u32::from(harmed);
                 self.outcome.harmed_s += if harmed { seconds } else { 0.0 };
             }
         }
         for job in self.jobs.values_mut() {
             if job.accepted && !job.over && job.kind.role == Role::Serving {
-                job.served.asked += job.drawn.spec.width();
+                job.tally.expected += job.drawn.spec.width();
             }
         }
-        self.send(SAMPLE_MS, Happening::Sample);
+        self.schedule(SAMPLE_MS, ScheduledEvent::Sample);
     }
 
-    /// pay lets serving jobs earn what they did since they last were paid.
-    pub(super) fn pay(&mut self) {
+    /// credit_serving_jobs lets serving jobs earn what they did since they last were paid.
+    pub(super) fn credit_serving_jobs(&mut self) {
         for job in self.jobs.values_mut() {
-            let served = std::mem::take(&mut job.served);
-            if served.asked == 0 || self.now_ms > self.day.site.length_ms {
+            let tally = std::mem::take(&mut job.tally);
+            if tally.expected == 0 || self.now_ms > self.scenario.deployment.length_ms {
                 continue;
             }
             let by_kind = self.outcome.kinds.entry(job.kind.name).or_default();
-            by_kind.owed += job.kind.worth;
-            by_kind.earned += job.kind.worth * served.share();
-            let away = served.asked.saturating_sub(served.at_work);
+            by_kind.achievable += job.kind.value;
+            by_kind.earned += job.kind.value * tally.share();
+            let away = tally.expected.saturating_sub(tally.running);
             self.outcome.away_s += f64::from(away) * SAMPLE_MS as f64 / SECOND;
         }
-        self.send(PAY_MS, Happening::Pay);
+        self.schedule(CREDIT_MS, ScheduledEvent::CreditServing);
     }
 
-    /// close returns what came of the day.
-    pub(super) fn close(self) -> Outcome {
+    /// into_outcome returns what came of the day.
+    pub(super) fn into_outcome(self) -> Outcome {
         self.outcome
     }
 }
--- a/crates/stackpier-load/src/cell/timing.rs
+++ b/crates/stackpier-load/src/cell/timing.rs
@@ -7,9 +7,9 @@
 use serde::Serialize;
 
 use super::{
-    outcome::Told,
-    pattern::site,
-    world::{Day, play},
+    outcome::EventKind,
+    pattern::deployment,
+    simulation::{Scenario, simulate},
 };
 use crate::table;
 
@@ -20,14 +20,14 @@
 /// SHORT_WAITING is how many short jobs come at once, so that a hundred tasks or more
 /// wait for the room that serving tasks hold.
 const SHORT_WAITING: u32 = 30;
-/// FILLING_WAITING is the same for filling jobs, on workers that are all disturbed.
-const FILLING_WAITING: u32 = 30;
+/// BEST_EFFORT_WAITING is the same for filling jobs, on workers that are all disturbed.
+const BEST_EFFORT_WAITING: u32 = 30;
 
 /// Row is one kind of event at one size.
 #[derive(Serialize)]
 struct Row {
     workers: usize,
-    told: Told,
+    event_kind: EventKind,
     events: usize,
     mean_us: f64,
     p99_us: f64,
@@ -38,43 +38,43 @@
 pub fn run(seed: u64, json: bool) -> Result<()> {
     let mut rows = Vec::new();
     for workers in SIZES {
-        let outcome = play(&day(workers), seed);
-        for (told, times) in outcome.step_times {
-            rows.push(row(workers, told, times));
+        let outcome = simulate(&scenario(workers), seed);
+        for (event_kind, times) in outcome.step_times {
+            rows.push(row(workers, event_kind, times));
         }
     }
     table::print(&format!("decisions, seed {seed}"), &rows, json)
 }
 
-/// day returns a cell of some workers as full as on the heaviest days: rates grow with
+/// scenario returns a cell of some workers as full as on the heaviest days: rates grow with
 /// its size, and what waits from the beginning does not.
-pub fn day(workers: usize) -> Day {
-    let mut site = site();
-    let times = workers as f64 / site.workers as f64;
-    site.workers = workers;
-    site.length_ms = LENGTH_MS;
-    let waiting = [SHORT_WAITING, FILLING_WAITING, 0];
-    for (kind, waiting) in site.kinds.iter_mut().zip(waiting) {
+pub fn scenario(workers: usize) -> Scenario {
+    let mut deployment = deployment();
+    let times = workers as f64 / deployment.workers as f64;
+    deployment.workers = workers;
+    deployment.length_ms = LENGTH_MS;
+    let waiting = [SHORT_WAITING, BEST_EFFORT_WAITING, 0];
+    for (kind, waiting) in deployment.kinds.iter_mut().zip(waiting) {
         kind.per_s *= times;
         kind.at_start = (f64::from(kind.at_start) * times) as u32 + waiting;
     }
-    Day {
-        site,
-        troubles: Vec::new(),
+    Scenario {
+        deployment,
+        timed_faults: Vec::new(),
         options: stackpier_cell::Options::default(),
         known_pairs: false,
         listing: Default::default(),
     }
 }
 
-fn row(workers: usize, told: Told, mut times: Vec<Duration>) -> Row {
+fn row(workers: usize, event_kind: EventKind, mut times: Vec<Duration>) -> Row {
     times.sort_unstable();
     let micros = |time: Duration| time.as_secs_f64() * 1_000_000.0;
     let total: Duration = times.iter().sum();
     let p99 = times[times.len() * 99 / 100];
     Row {
         workers,
-        told,
+        event_kind,
         events: times.len(),
         mean_us: micros(total) / times.len() as f64,
         p99_us: micros(p99),
--- a/crates/stackpier-load/src/lib.rs
+++ b/crates/stackpier-load/src/lib.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Seeded experiments with the decisions: routing policies, days of a cell with its
-//! workers, and the slopes behind the capacity page.
+//! Seeded experiments with stackpier's decisions: routing policies, simulated scenarios of a cell
+//! with its workers, and the growth of costs with size that `docs/CAPACITY.md` quotes.
 
 pub mod capacity;
 pub mod cell;
--- a/crates/stackpier-load/src/main.rs
+++ b/crates/stackpier-load/src/main.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! `stackpier-load routing | cell | steps | capacity --seed S`: seeded experiments
-//! with the decisions, as tables and JSON.
+//! `stackpier-load routing | cell | steps | capacity --seed S` runs seeded experiments with
+//! stackpier's decisions and prints tables or JSON.
 
 use anyhow::{Result, bail};
 use lexopt::{Arg, Parser, ValueExt};
@@ -12,7 +12,7 @@
 
 Commands:
   capacity   bytes and processor time of decisions at several sizes
-  cell       play the heavy days of a cell, and the same with the pairs known
+  cell       simulate the heavy scenarios of a cell, each with the pairs learnt and known
   routing    compare routing policies over scenarios and loads
   steps      time the owner's decisions at 500, 2,000 and 16,000 workers
 ";
@@ -39,7 +39,7 @@
     }
     match command.as_str() {
         "capacity" => capacity::run(json),
-        "cell" => cell::days::run(seed, json),
+        "cell" => cell::scenarios::run(seed, json),
         "routing" => routing::run(seed, json),
         "steps" => cell::timing::run(seed, json),
         _ => bail!("no such command\n{HELP}"),
--- a/crates/stackpier-load/src/routing.rs
+++ b/crates/stackpier-load/src/routing.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The routing experiment: entry VMs that share upstreams without talking to
-//! each other, over scenarios of faults and loads.
+//! The routing experiment: entry VMs that share upstreams without communicating with each other,
+//! in scenarios of faults and loads.
 
 mod model;
 mod policy;
@@ -16,10 +16,10 @@
 };
 use crate::table;
 
-/// LOADS are shares of the upstreams' capacity that arrive.
+/// LOADS are the arrival rates, as shares of the upstreams' capacity.
 const LOADS: [f64; 4] = [0.5, 0.8, 0.95, 1.3];
 
-/// Row is the outcome of one policy in one scenario at one load.
+/// Row holds the outcome of one policy in one scenario at one load.
 #[derive(Serialize)]
 struct Row {
     scenario: &'static str,
@@ -28,17 +28,17 @@
     p50_ms: f64,
     p99_ms: f64,
     p999_ms: f64,
-    /// Answered in time, as a share of the capacity.
+    /// Requests answered by their deadline, as a share of the capacity.
     goodput: f64,
-    /// Refused or out of time, as a share of the arrivals.
+    /// Requests refused or past their deadline, as a share of the arrivals.
     failed: f64,
-    /// Sends beyond the first, for each arrival.
+    /// The mean number of sends beyond the first per arrival.
     retries: f64,
-    /// The 99th percentile against least in flight.
+    /// The 99th percentile divided by that of the policy `LeastInFlight`.
     p99_ratio: f64,
 }
 
-/// run prints the whole comparison.
+/// run prints the comparison of all policies.
 pub fn run(seed: u64, json: bool) -> Result<()> {
     let mut rows = Vec::new();
     for scenario in Scenario::ALL {
--- a/crates/stackpier-load/src/routing/model.rs
+++ b/crates/stackpier-load/src/routing/model.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The model of an upstream: slots, connections that wait for a slot, and how
-//! long a request takes in each scenario.
+//! The model of an upstream: its slots, the connections that wait for a slot, and the run time of
+//! requests in each scenario.
 
 use std::collections::VecDeque;
 
@@ -8,31 +8,31 @@
 
 /// SLOTS is how many requests an upstream runs at once.
 pub const SLOTS: usize = 8;
-/// CONNECTIONS is how many it accepts at once, waiting ones included.
+/// CONNECTIONS is how many requests an upstream accepts at once, running and waiting.
 pub const CONNECTIONS: usize = 64;
-/// UPSTREAMS is the count of upstreams.
+/// UPSTREAMS is the number of upstreams.
 pub const UPSTREAMS: usize = 17;
-/// MEAN_MS is the mean time a request runs.
+/// MEAN_MS is the mean run time of a request.
 pub const MEAN_MS: f64 = 20.0;
-/// FIXED_MS is the part of it that does not vary.
+/// FIXED_MS is the constant part of a request's run time.
 const FIXED_MS: f64 = 8.0;
-/// NOISY_FROM_MS is when the wave of noisy neighbours begins.
+/// NOISY_FROM_MS is when the noisy neighbours of `Scenario::NoisyWave` begin.
 const NOISY_FROM_MS: f64 = 15_000.0;
-/// NOISY_UNTIL_MS is when the wave of noisy neighbours ends.
+/// NOISY_UNTIL_MS is when the noisy neighbours of `Scenario::NoisyWave` end.
 const NOISY_UNTIL_MS: f64 = 40_000.0;
 
-/// Scenario is what is wrong with the upstreams.
+/// Scenario is the fault of the upstreams in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing.
+    /// No fault.
     Healthy,
-    /// One takes five times as long.
+    /// One upstream takes five times as long.
     OneSlow,
-    /// One refuses everything at once.
+    /// One upstream refuses every request immediately.
     OneFailing,
-    /// One takes requests and never answers.
+    /// One upstream accepts requests and never answers.
     OneFrozen,
-    /// A quarter take three times as long for a while.
+    /// Every fourth upstream takes three times as long for a while.
     NoisyWave,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// factor returns how many times longer a request takes at an upstream.
+    /// factor returns by how much an upstream's run times are multiplied.
     fn factor(self, upstream: usize, now_ms: f64) -> f64 {
         let noisy = (NOISY_FROM_MS..NOISY_UNTIL_MS).contains(&now_ms) && upstream.is_multiple_of(4);
         match self {
@@ -68,32 +68,32 @@
     }
 }
 
-/// Reception is what an upstream does with a request.
+/// Admission is an upstream's response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reception {
-    /// Runs it, and is done at this time.
+pub enum Admission {
+    /// Runs it and finishes at this time, in milliseconds.
     Runs(f64),
-    /// Has it wait for a slot.
+    /// Keeps it waiting for a slot.
     Waits,
-    /// Takes it and never answers.
-    Swallows,
-    /// Refuses it for want of a connection.
+    /// Accepts it and never answers.
+    NeverAnswers,
+    /// Refuses it because all connections are in use.
     Busy,
     /// Refuses it for another reason.
     Refuses,
 }
 
-/// Upstream is the model of one upstream.
+/// Upstream models one upstream.
 #[derive(Debug, Default)]
 pub struct Upstream {
     number: usize,
     running: usize,
-    swallowed: usize,
+    unanswered: usize,
     waiting: VecDeque<usize>,
 }
 
 impl Upstream {
-    /// new makes an idle upstream.
+    /// new creates an idle upstream.
     pub fn new(number: usize) -> Upstream {
         Upstream {
             number,
@@ -101,34 +101,34 @@
         }
     }
 
-    /// receive takes a request, named by its send.
+    /// receive admits or refuses a request. `send` is the number of the send.
     pub fn receive<R: Rng>(
         &mut self,
         send: usize,
         now_ms: f64,
         scenario: Scenario,
         rng: &mut R,
-    ) -> Reception {
+    ) -> Admission {
         if self.number == 0 && scenario == Scenario::OneFailing {
-            return Reception::Refuses;
+            return Admission::Refuses;
         }
-        if self.running + self.swallowed + self.waiting.len() >= CONNECTIONS {
-            return Reception::Busy;
+        if self.running + self.unanswered + self.waiting.len() >= CONNECTIONS {
+            return Admission::Busy;
         }
         if self.number == 0 && scenario == Scenario::OneFrozen {
-            self.swallowed += 1;
-            return Reception::Swallows;
+            self.unanswered += 1;
+            return Admission::NeverAnswers;
         }
         if self.running >= SLOTS {
             self.waiting.push_back(send);
-            return Reception::Waits;
+            return Admission::Waits;
         }
         self.running += 1;
-        Reception::Runs(now_ms + self.time_ms(now_ms, scenario, rng))
+        Admission::Runs(now_ms + self.time_ms(now_ms, scenario, rng))
     }
 
-    /// finish ends a running request and returns one that starts instead, with
-    /// the time at which it is done.
+    /// finish ends a running request. If another was waiting for the slot, it starts: its send and
+    /// the time at which it finishes are returned.
     pub fn finish<R: Rng>(
         &mut self,
         now_ms: f64,
@@ -142,9 +142,10 @@
         Some((next, now_ms + self.time_ms(now_ms, scenario, rng)))
     }
 
-    /// drop_swallowed frees the connection of a request whose sender gave up.
-    pub fn drop_swallowed(&mut self) {
-        self.swallowed = self.swallowed.saturating_sub(1);
+    /// drop_unanswered frees the connection of a request that was never answered and whose caller
+    /// gave up.
+    pub fn drop_unanswered(&mut self) {
+        self.unanswered = self.unanswered.saturating_sub(1);
     }
 
     fn time_ms<R: Rng>(&self, now_ms: f64, scenario: Scenario, rng: &mut R) -> f64 {
--- a/crates/stackpier-load/src/routing/policy.rs
+++ b/crates/stackpier-load/src/routing/policy.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The policies that are compared: simple baselines, and stackpier's own.
+//! Routing policies that the experiment compares: simple baselines and stackpier's router.
 
 use rand::{Rng, RngExt};
 use stackpier_coordination::{
@@ -15,22 +15,22 @@
 
 use crate::label::name;
 
-/// BASELINE_SENDS is how often a baseline sends a request at most.
+/// BASELINE_SENDS is the most times that a baseline sends one request.
 pub const BASELINE_SENDS: usize = 4;
 
-/// Kind names a policy.
+/// Kind identifies a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Any upstream.
+    /// A random upstream.
     Random,
-    /// One after the other.
+    /// The upstreams in rotation.
     RoundRobin,
     /// The one with the fewest requests in flight from this entry VM.
     LeastInFlight,
-    /// The better one of two, by requests in flight.
+    /// Of two random upstreams, the one with fewer requests in flight.
     TwoChoices,
-    /// stackpier's.
-    Ours,
+    /// stackpier's router.
+    Stackpier,
 }
 
 impl Kind {
@@ -40,7 +40,7 @@
         Kind::RoundRobin,
         Kind::LeastInFlight,
         Kind::TwoChoices,
-        Kind::Ours,
+        Kind::Stackpier,
     ];
 
     /// as_str returns the name in tables.
@@ -50,64 +50,64 @@
             Kind::RoundRobin => "round-robin",
             Kind::LeastInFlight => "least-in-flight",
             Kind::TwoChoices => "two-choices",
-            Kind::Ours => "ours",
+            Kind::Stackpier => "ours",
         }
     }
 }
 
-/// Slot is a place at an upstream.
+/// Slot identifies the upstream that a request is sent to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slot {
     /// The upstream's number.
     pub upstream: usize,
-    /// The router's key for it, if the policy is stackpier's.
+    /// The router's key for this send; only stackpier's policy has one.
     key: Option<Key>,
 }
 
-/// Decision is what to do with a request.
+/// Decision is a policy's answer to an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it there.
+    /// Send it to this upstream.
     Send(Slot),
-    /// Let it wait.
+    /// Queue it until an upstream has a free slot.
     Wait,
     /// Refuse it.
     Refuse,
 }
 
-/// Given is a slot that a waiting request got.
+/// Assignment gives a freed slot to a queued request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Given {
+pub struct Assignment {
     /// The request.
     pub request: usize,
     /// The slot.
     pub slot: Slot,
 }
 
-/// Entry is the routing state of one entry VM.
+/// Entry holds the routing state of one entry VM.
 pub enum Entry {
-    /// A baseline.
+    /// A baseline policy.
     Baseline(Baseline),
-    /// stackpier's.
-    Ours(Box<Ours>),
+    /// stackpier's router.
+    Stackpier(Box<Stackpier>),
 }
 
-/// Baseline counts requests in flight and nothing else.
+/// Baseline knows only its own requests in flight at each upstream.
 pub struct Baseline {
     kind: Kind,
     in_flight: Vec<u32>,
     next: usize,
 }
 
-/// Ours wraps the router that the daemon runs.
-pub struct Ours {
+/// Stackpier wraps the router that the daemon runs.
+pub struct Stackpier {
     service: Service,
 }
 
 impl Entry {
-    /// new makes the state of one entry VM for a count of upstreams.
+    /// new creates the routing state of one entry VM for a number of upstreams.
     pub fn new(kind: Kind, upstreams: usize) -> Entry {
-        if kind != Kind::Ours {
+        if kind != Kind::Stackpier {
             return Entry::Baseline(Baseline {
                 kind,
                 in_flight: vec![0; upstreams],
@@ -117,68 +117,71 @@
         let mut service = Service::new(Options::default());
         let endpoints: Vec<Endpoint> = (0..upstreams).map(endpoint).collect();
         service.update(&endpoints);
-        Entry::Ours(Box::new(Ours { service }))
+        Entry::Stackpier(Box::new(Stackpier { service }))
     }
 
-    /// arrive decides on a request. `avoid` lists where it was sent before.
+    /// arrive decides what to do with a request. `tried` lists the upstreams that it was
+    /// already sent to.
     pub fn arrive<R: Rng>(
         &mut self,
         now: Millis,
         deadline: Millis,
         request: usize,
-        avoid: &[usize],
+        tried: &[usize],
         rng: &mut R,
     ) -> Decision {
         match self {
-            Entry::Baseline(baseline) => match avoid.len() < BASELINE_SENDS {
+            Entry::Baseline(baseline) => match tried.len() < BASELINE_SENDS {
                 true => Decision::Send(Slot {
-                    upstream: baseline.pick(avoid, rng),
+                    upstream: baseline.choose(tried, rng),
                     key: None,
                 }),
                 false => Decision::Refuse,
             },
-            Entry::Ours(ours) => ours.arrive(now, deadline, request, avoid, rng),
+            Entry::Stackpier(stackpier) => stackpier.arrive(now, deadline, request, tried, rng),
         }
     }
 
-    /// done takes the outcome of a send.
+    /// done records the outcome of a send.
     pub fn done(&mut self, now: Millis, slot: Slot, took_ms: u64, outcome: Outcome) {
         match (self, slot.key) {
             (Entry::Baseline(baseline), _) => baseline.in_flight[slot.upstream] -= 1,
-            (Entry::Ours(ours), Some(key)) => ours.service.done(now, key, took_ms, outcome),
-            (Entry::Ours(_), None) => {}
+            (Entry::Stackpier(stackpier), Some(key)) => {
+                stackpier.service.done(now, key, took_ms, outcome)
+            }
+            (Entry::Stackpier(_), None) => {}
         }
     }
 
-    /// may_retry tells whether a request may be sent again.
+    /// may_retry reports whether a failed request may be sent again.
     pub fn may_retry(&mut self) -> bool {
         match self {
             Entry::Baseline(_) => true,
-            Entry::Ours(ours) => ours.service.may_retry(),
+            Entry::Stackpier(stackpier) => stackpier.service.may_retry(),
         }
     }
 
-    /// leave takes a request out of the queue.
-    pub fn leave(&mut self, deadline: Millis, request: usize) {
-        if let Entry::Ours(ours) = self {
-            ours.service.leave(deadline, Ticket(request as u64));
+    /// dequeue removes a request from the queue.
+    pub fn dequeue(&mut self, deadline: Millis, request: usize) {
+        if let Entry::Stackpier(stackpier) = self {
+            stackpier.service.leave(deadline, Ticket(request as u64));
         }
     }
 
-    /// freed gives slots to waiting requests.
-    pub fn freed<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<Given> {
+    /// freed assigns free slots to queued requests.
+    pub fn freed<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<Assignment> {
         match self {
             Entry::Baseline(_) => Vec::new(),
-            Entry::Ours(ours) => ours.freed(now, rng),
+            Entry::Stackpier(stackpier) => stackpier.freed(now, rng),
         }
     }
 }
 
 impl Baseline {
-    fn pick<R: Rng>(&mut self, avoid: &[usize], rng: &mut R) -> usize {
+    fn choose<R: Rng>(&mut self, tried: &[usize], rng: &mut R) -> usize {
         let count = self.in_flight.len();
         let pool: Vec<usize> = (0..count)
-            .filter(|number| !avoid.contains(number))
+            .filter(|number| !tried.contains(number))
             .collect();
         let chosen = match self.kind {
             Kind::RoundRobin => {
@@ -201,38 +204,38 @@
                     other
                 }
             }
-            Kind::Random | Kind::Ours => pool[rng.random_range(0..pool.len())],
+            Kind::Random | Kind::Stackpier => pool[rng.random_range(0..pool.len())],
         };
         self.in_flight[chosen] += 1;
         chosen
     }
 }
 
-impl Ours {
+impl Stackpier {
     fn arrive<R: Rng>(
         &mut self,
         now: Millis,
         deadline: Millis,
         request: usize,
-        avoid: &[usize],
+        tried: &[usize],
         rng: &mut R,
     ) -> Decision {
-        let avoid: Vec<Name> = avoid.iter().map(|number| worker(*number)).collect();
+        let tried: Vec<Name> = tried.iter().map(|number| worker(*number)).collect();
         let ticket = Ticket(request as u64);
-        match self.service.arrive(now, deadline, ticket, &avoid, rng) {
+        match self.service.arrive(now, deadline, ticket, &tried, rng) {
             Choice::Send(key) => Decision::Send(self.slot(key)),
             Choice::Wait => Decision::Wait,
             Choice::Shed(_) | Choice::NoUpstream => Decision::Refuse,
         }
     }
 
-    fn freed<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<Given> {
-        let given = self.service.freed(now, rng);
-        let with_slot = |(ticket, key): (Ticket, Key)| Given {
+    fn freed<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<Assignment> {
+        let assigned = self.service.freed(now, rng);
+        let to_assignment = |(ticket, key): (Ticket, Key)| Assignment {
             request: ticket.0 as usize,
             slot: self.slot(key),
         };
-        given.into_iter().map(with_slot).collect()
+        assigned.into_iter().map(to_assignment).collect()
     }
 
     fn slot(&self, key: Key) -> Slot {
--- a/crates/stackpier-load/src/table.rs
+++ b/crates/stackpier-load/src/table.rs
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Rows of figures as aligned text or as JSON.
+//! Prints rows of figures as an aligned text table or as JSON.
 
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::Value;
 
-/// print prints rows with their field names as the head.
+/// print prints rows as JSON, or as a table under a title with the field names as column heads.
 pub fn print<T: Serialize>(title: &str, rows: &[T], json: bool) -> Result<()> {
     if json {
         println!("{}", serde_json::to_string_pretty(rows)?);
@@ -21,33 +21,33 @@
     };
     let names: Vec<&String> = first.keys().collect();
     let mut lines: Vec<Line> = vec![names.iter().map(|name| name.to_string()).collect()];
-    lines.extend(values.iter().map(|value| line(value, &names)));
+    lines.extend(values.iter().map(|value| format_row(value, &names)));
     let widths: Vec<usize> = (0..names.len())
-        .map(|column| width(&lines, column))
+        .map(|column| column_width(&lines, column))
         .collect();
     for line in &lines {
-        println!("{}", aligned(line, &widths));
+        println!("{}", align(line, &widths));
     }
     Ok(())
 }
 
-/// Line is the cells of one line.
+/// Line holds the cells of one printed line.
 type Line = Vec<String>;
 
-fn line(value: &Value, names: &[&String]) -> Line {
+fn format_row(value: &Value, names: &[&String]) -> Line {
     names
         .iter()
-        .map(|name| cell(&value[name.as_str()]))
+        .map(|name| format_cell(&value[name.as_str()]))
         .collect()
 }
 
-/// width returns the count of bytes of a column's longest cell.
-fn width(lines: &[Line], column: usize) -> usize {
+/// column_width returns the length in bytes of a column's longest cell.
+fn column_width(lines: &[Line], column: usize) -> usize {
     let widths = lines.iter().map(|line| line[column].len());
     widths.max().unwrap_or(0)
 }
 
-fn aligned(line: &Line, widths: &[usize]) -> String {
+fn align(line: &Line, widths: &[usize]) -> String {
     let cells = line
         .iter()
         .zip(widths)
@@ -55,7 +55,7 @@
     cells.collect::<Vec<_>>().join("  ")
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Number(number) if number.is_f64() => {
--- a/crates/stackpier-load/tests/model.rs
+++ b/crates/stackpier-load/tests/model.rs
@@ -6,8 +6,8 @@
 use stackpier_load::cell::{
     fault::Fault,
     outcome::Outcome,
-    pattern::{FILLING, Pattern, SERVING, SHORT},
-    world::{Day, play},
+    pattern::{BEST_EFFORT, Pattern, SERVING, SHORT},
+    simulation::{Scenario, simulate},
 };
 
 /// SEED is the seed of these days.
@@ -15,57 +15,67 @@
 /// LENGTH_MS is how long they are: a fraction of what is measured.
 const LENGTH_MS: u64 = 12_000;
 
-fn short_day(pattern: Pattern) -> Day {
-    let mut day = pattern.day();
-    day.site.length_ms = LENGTH_MS;
-    day
+fn short_day(pattern: Pattern) -> Scenario {
+    let mut scenario = pattern.scenario();
+    scenario.deployment.length_ms = LENGTH_MS;
+    scenario
 }
 
 /// figures returns what must be alike in two plays.
 fn figures(outcome: &Outcome) -> Vec<u64> {
-    let kinds = [SHORT, FILLING, SERVING].map(|kind| outcome.of(kind));
+    let kinds = [SHORT, BEST_EFFORT, SERVING].map(|kind| outcome.of(kind));
     let jobs = kinds
         .iter()
         .flat_map(|kind| [kind.jobs, kind.in_time, kind.late]);
-    jobs.chain([outcome.starts, outcome.stops, outcome.filled_apart])
-        .collect()
+    jobs.chain([
+        outcome.starts,
+        outcome.stops,
+        outcome.best_effort_starts_apart,
+    ])
+    .collect()
 }
 
 #[rstest]
 fn the_same_seed_gives_the_same_day() {
-    let day = short_day(Pattern::BadWorkers);
-    assert_eq!(figures(&play(&day, SEED)), figures(&play(&day, SEED)));
+    let scenario = short_day(Pattern::BadWorkers);
+    assert_eq!(
+        figures(&simulate(&scenario, SEED)),
+        figures(&simulate(&scenario, SEED))
+    );
 }
 
 #[rstest]
 fn another_seed_gives_another_day() {
-    let day = short_day(Pattern::Calm);
-    assert_ne!(figures(&play(&day, SEED)), figures(&play(&day, SEED + 1)));
+    let scenario = short_day(Pattern::Calm);
+    assert_ne!(
+        figures(&simulate(&scenario, SEED)),
+        figures(&simulate(&scenario, SEED + 1))
+    );
 }
 
 #[rstest]
 fn jobs_are_refused_only_while_the_store_is_away() {
-    let calm = play(&short_day(Pattern::Calm), SEED);
-    assert_eq!(calm.of(FILLING).refused, 0);
-    let mut day = short_day(Pattern::StoreAway);
-    for trouble in &mut day.troubles {
-        trouble.at_ms = 4_000;
-        if trouble.fault == Fault::StoreAway {
-            trouble.for_ms = 5_500;
+    let calm = simulate(&short_day(Pattern::Calm), SEED);
+    assert_eq!(calm.of(BEST_EFFORT).refused, 0);
+    let mut scenario = short_day(Pattern::StoreAway);
+    for timed_fault in &mut scenario.timed_faults {
+        timed_fault.at_ms = 4_000;
+        if timed_fault.fault == Fault::StoreAway {
+            timed_fault.for_ms = 5_500;
         }
     }
-    let away = play(&day, SEED);
-    assert!(away.of(FILLING).refused > 0);
+    let away = simulate(&scenario, SEED);
+    assert!(away.of(BEST_EFFORT).refused > 0);
 }
 
 #[rstest]
 fn pairs_that_are_known_harm_less() {
     let learnt = short_day(Pattern::HeavyPairs);
-    let known = Day {
+    let known = Scenario {
         known_pairs: true,
         ..learnt.clone()
     };
-    let (learnt, known) = (play(&learnt, SEED), play(&known, SEED));
+    let (learnt, known) = (simulate(&learnt, SEED), simulate(&known, SEED));
     assert!(
         known.harmed_s < learnt.harmed_s,
         "{} and {}",
--- a/crates/stackpier-load/tests/patterns.rs
+++ b/crates/stackpier-load/tests/patterns.rs
@@ -8,8 +8,8 @@
 use stackpier_cell::Mechanism;
 use stackpier_load::cell::{
     outcome::{Outcome, percentile},
-    pattern::{FILLING, Pattern, SERVING, SHORT},
-    world::play,
+    pattern::{BEST_EFFORT, Pattern, SERVING, SHORT},
+    simulation::simulate,
 };
 
 /// SEEDS are the seeds of these days.
@@ -31,25 +31,26 @@
 fn no_kind_of_job_starves(
     #[case] pattern: Pattern,
     #[case] short_floor: f64,
-    #[case] filling_floor: f64,
+    #[case] best_effort_floor: f64,
 ) {
-    let mut day = pattern.day();
-    day.site.length_ms = LENGTH_MS;
-    let outcomes = SEEDS.map(|seed| play(&day, seed));
+    let mut scenario = pattern.scenario();
+    scenario.deployment.length_ms = LENGTH_MS;
+    let outcomes = SEEDS.map(|seed| simulate(&scenario, seed));
     let total: f64 = outcomes
         .iter()
-        .map(|outcome| outcome.of(SHORT).share())
+        .map(|outcome| outcome.of(SHORT).goodput())
         .sum();
     let mean = total / SEEDS.len() as f64;
     assert!(mean >= short_floor, "short jobs earn {mean}");
     for outcome in &outcomes {
-        let [short, filling, serving] = [SHORT, FILLING, SERVING].map(|kind| outcome.of(kind));
-        let shares = [short.share(), filling.share(), serving.share()];
-        assert!(shares[1] >= filling_floor, "{shares:?}");
+        let [short, best_effort, serving] =
+            [SHORT, BEST_EFFORT, SERVING].map(|kind| outcome.of(kind));
+        let shares = [short.goodput(), best_effort.goodput(), serving.goodput()];
+        assert!(shares[1] >= best_effort_floor, "{shares:?}");
         assert!(shares[2] >= SERVING_FLOOR, "{shares:?}");
-        let waits = percentile(&short.first_ms, 0.5);
+        let waits = percentile(&short.first_start_ms, 0.5);
         assert!(waits <= WAIT_MS, "half of the short jobs wait {waits} ms");
-        let refused = short.refused + filling.refused + serving.refused;
+        let refused = short.refused + best_effort.refused + serving.refused;
         assert_eq!(
             refused > 0,
             pattern == Pattern::StoreAway,
@@ -61,12 +62,12 @@
 /// apart returns the share of filling starts that went to workers which serve nothing. No
 /// workers are dedicated to short tasks, as these serve nothing, either.
 fn apart(pattern: Pattern, without: Option<Mechanism>) -> f64 {
-    let mut day = pattern.day();
+    let mut scenario = pattern.scenario();
     let without = without.into_iter().chain([Mechanism::Dedicated]);
-    day.options.without = without.collect();
-    let outcomes = SEEDS.map(|seed| play(&day, seed));
+    scenario.options.without = without.collect();
+    let outcomes = SEEDS.map(|seed| simulate(&scenario, seed));
     let sum = |of: fn(&Outcome) -> u64| outcomes.iter().map(of).sum::<u64>() as f64;
-    sum(|outcome| outcome.filled_apart) / sum(|outcome| outcome.filled)
+    sum(|outcome| outcome.best_effort_starts_apart) / sum(|outcome| outcome.best_effort_starts)
 }
 
 /// Where most pairs disturb, much of the filling work goes to workers that were emptied
--- a/crates/stackpier-load/tests/steps.rs
+++ b/crates/stackpier-load/tests/steps.rs
@@ -8,9 +8,9 @@
 use rstest::rstest;
 use stackpier_cell::Options;
 use stackpier_load::cell::{
-    pattern::{FILLING, SHORT},
-    timing::day,
-    world::{Day, play},
+    pattern::{BEST_EFFORT, SHORT},
+    simulation::{Scenario, simulate},
+    timing::scenario,
 };
 
 /// SEED is the seed of these days.
@@ -27,28 +27,28 @@
 /// SAVED is what may be done beyond the bound over time, in milliseconds of it.
 const SAVED_MS: u64 = 300;
 
-fn full_day() -> Day {
-    let mut day = day(WORKERS);
-    day.options = Options {
-        ratings_per_ms: day.options.ratings_per_ms * CORES / 1_000,
-        ..day.options
+fn full_day() -> Scenario {
+    let mut scenario = scenario(WORKERS);
+    scenario.options = Options {
+        ratings_per_ms: scenario.options.ratings_per_ms * CORES / 1_000,
+        ..scenario.options
     };
-    day
+    scenario
 }
 
 #[rstest]
 fn no_call_of_a_full_cell_rates_workers_for_long() {
-    let outcome = play(&full_day(), SEED);
-    let most = outcome.most_ratings;
+    let outcome = simulate(&full_day(), SEED);
+    let most = outcome.max_ratings;
     assert!(most <= CALL_RATINGS, "{most} ratings in one call");
 }
 
 #[rstest]
 fn over_time_a_full_cell_rates_no_more_than_its_vm_can_bear() {
-    let day = full_day();
-    let outcome = play(&day, SEED);
-    let length_ms = day.site.length_ms + FINISH_MS + SAVED_MS;
-    let bound = u64::from(day.options.ratings_per_ms) * length_ms;
+    let scenario = full_day();
+    let outcome = simulate(&scenario, SEED);
+    let length_ms = scenario.deployment.length_ms + FINISH_MS + SAVED_MS;
+    let bound = u64::from(scenario.options.ratings_per_ms) * length_ms;
     assert!(outcome.ratings <= bound, "{} of {bound}", outcome.ratings);
 }
 
@@ -56,11 +56,11 @@
 /// with ratings in common these got none for seconds, and most of a day's worth was lost.
 #[rstest]
 fn tasks_that_wait_for_room_leave_ratings_for_those_that_fill() {
-    let outcome = play(&full_day(), SEED);
-    let (short, filling) = (outcome.of(SHORT), outcome.of(FILLING));
+    let outcome = simulate(&full_day(), SEED);
+    let (short, best_effort) = (outcome.of(SHORT), outcome.of(BEST_EFFORT));
     assert!(
-        short.jobs > 0 && filling.share() > 0.8,
+        short.jobs > 0 && best_effort.goodput() > 0.8,
         "{}",
-        filling.share()
+        best_effort.goodput()
     );
 }
