--- a/crates/stackpier-load/src/capacity.rs
+++ b/crates/stackpier-load/src/capacity.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The slopes behind `docs/CAPACITY.md`: bytes of pages and messages, and
-//! processor time of decisions, at several sizes, with a straight line fitted.
+//! The slopes that `docs/CAPACITY.md` quotes: sizes in bytes of pages and messages and processor
+//! times of decisions, measured at several sizes, with a straight line fitted to each.
 
 mod build;
 mod fit;
@@ -25,12 +25,12 @@
 use self::fit::{Line, fit_line};
 use crate::table;
 
-/// ROUNDS is how often a decision is timed.
+/// ROUNDS is how many calls a decision's time is averaged over.
 const ROUNDS: u32 = 200;
-/// SIZES are the sizes measured, as multiples of each subject's unit.
+/// SIZES are the measured sizes, as multiples of each subject's `base`.
 const SIZES: [usize; 4] = [1, 2, 4, 8];
 
-/// Point is one measurement.
+/// Point holds one measurement.
 #[derive(Serialize)]
 struct Point {
     what: &'static str,
@@ -40,7 +40,7 @@
     unit: &'static str,
 }
 
-/// Slope is the line through the points of one subject.
+/// Slope holds the line fitted to the points of one subject.
 #[derive(Serialize)]
 struct Slope {
     what: &'static str,
@@ -51,17 +51,17 @@
     worst_error_percent: f64,
 }
 
-/// Subject is something whose cost grows with a count.
+/// Subject describes a page, message or decision whose cost grows with the number of its items.
 struct Subject {
     what: &'static str,
     of: &'static str,
     unit: &'static str,
-    /// The count at the smallest size.
+    /// The number of items at the smallest size.
     base: usize,
     measure: fn(usize) -> Result<f64>,
 }
 
-/// SUBJECTS are all that are measured.
+/// SUBJECTS lists everything that is measured.
 const SUBJECTS: [Subject; 13] = [
     subject("rack page", "runs", "bytes", 16, |n| {
         page_bytes(Page::Rack(build::rack(n)))
@@ -114,8 +114,8 @@
         50,
         time_placer_tick,
     ),
-    subject("who is live", "entry VMs", "us", 9, live),
-    subject("choice of an upstream", "upstreams", "us", 17, choice),
+    subject("who is live", "entry VMs", "us", 9, time_live_list),
+    subject("choice of an upstream", "upstreams", "us", 17, time_upstream_choice),
 ];
 
 const fn subject(
@@ -134,7 +134,7 @@
     }
 }
 
-/// run prints all points and their lines.
+/// run measures all subjects and prints the points and the fitted lines.
 pub fn run(json: bool) -> Result<()> {
     let mut points = Vec::new();
     let mut slopes = Vec::new();
@@ -169,7 +169,7 @@
     table::print("lines: fixed + per_item x count", &slopes, json)
 }
 
-/// page_bytes returns the bytes of a page in a call to the store.
+/// page_bytes returns the size of the call that writes a page to the store.
 fn page_bytes(page: Page) -> Result<f64> {
     json_bytes(&Swap {
         expect: Revision(123_456),
@@ -181,7 +181,7 @@
     Ok(to_json(value)?.len() as f64)
 }
 
-/// mean_call_us returns the microseconds of one call.
+/// mean_call_us returns the mean time of a call in microseconds.
 fn mean_call_us<F: FnMut()>(mut call: F) -> f64 {
     let started = Instant::now();
     (0..ROUNDS).for_each(|_| call());
@@ -217,14 +217,14 @@
     }))
 }
 
-fn live(daemons: usize) -> Result<f64> {
+fn time_live_list(daemons: usize) -> Result<f64> {
     let table = build::table(daemons);
     Ok(mean_call_us(|| {
         std::hint::black_box(table.live(Millis(1), table.data_centre()));
     }))
 }
 
-fn choice(upstreams: usize) -> Result<f64> {
+fn time_upstream_choice(upstreams: usize) -> Result<f64> {
     let (mut service, mut rng) = build::service(upstreams);
     let mut ticket = 0;
     Ok(mean_call_us(|| {
--- a/crates/stackpier-load/src/capacity/build.rs
+++ b/crates/stackpier-load/src/capacity/build.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Pages, messages and machines of a given size.
+//! Pages, messages and state machines of a given size.
 
 mod machine;
 mod message;
--- a/crates/stackpier-load/src/capacity/build/machine.rs
+++ b/crates/stackpier-load/src/capacity/build/machine.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Machines of a given size, at rest.
+//! State machines (owner, placer, router and the membership table) of a given size, with no
+//! write pending.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -27,14 +28,14 @@
 };
 use crate::label::name;
 
-/// MAX_WRITES bounds the writes after which a machine is at rest.
+/// MAX_WRITES bounds the initial writes of a placer, after which none is pending.
 const MAX_WRITES: u64 = 5;
-/// WRITE_GAP_MS is the time between two of them, more than between commits.
+/// WRITE_GAP_MS is the time between two of these writes; it exceeds the gap between commits.
 const WRITE_GAP_MS: u64 = 1_000;
-/// NO_SWEEP_MS is a time between sweeps that does not pass.
+/// NO_SWEEP_MS is a sweep interval so long that no sweep happens during a measurement.
 const NO_SWEEP_MS: u64 = u64::MAX / 16;
 
-/// vm builds an entry of the list.
+/// vm builds an entry of the list of VMs.
 fn vm(label: Name, role: Role, rack: Option<Name>) -> Vm {
     Vm {
         name: label,
@@ -47,7 +48,8 @@
     }
 }
 
-/// table builds a view of a count of daemons, all heard of, and of the racks.
+/// table builds a membership table of a number of daemons, all with a received heartbeat, and of
+/// the racks' workers.
 pub fn table(daemons: usize) -> Table {
     let mut table = Table::new(member(0), data_centre(), membership::Options::default());
     let entries = (0..daemons).map(|n| vm(member(n).vm, Role::Entry, None));
@@ -73,7 +75,7 @@
     table
 }
 
-/// owner builds the owner of a rack with a count of runs, at rest.
+/// owner builds the owner of a rack with a number of runs and no write pending.
 pub fn owner(runs: usize, table: &Table, writer: &mut Writer) -> Owner {
     let label = rack_name();
     let options = owner::Options {
@@ -92,7 +94,7 @@
     owner
 }
 
-/// placer builds the placer of a shard with a count of tasks, at rest.
+/// placer builds the placer of a shard with a number of tasks and no write pending.
 pub fn placer(tasks: usize, view: View<'_>, writer: &mut Writer) -> Placer {
     let options = placer::Options {
         sweep_ms: NO_SWEEP_MS,
@@ -105,7 +107,7 @@
     let key = Key::Homes(data_centre(), 0);
     let read = Event::Read(key, Fetched::Found(Revision(1), page));
     let mut effects = placer.step(Millis(0), read, view, writer);
-    // Its first writes bring the homes in line with the intents.
+    // The first writes bring the homes page in line with the intents.
     for round in 1..=MAX_WRITES {
         let written = effects
             .iter()
@@ -119,7 +121,7 @@
     placer
 }
 
-/// service builds the router's state of one service.
+/// service builds the router's state for one service with a number of upstreams.
 pub fn service(upstreams: usize) -> (Service, ChaCha8Rng) {
     let mut service = Service::new(route::Options::default());
     let endpoints: Vec<Endpoint> = (0..upstreams)
--- a/crates/stackpier-load/src/capacity/build/message.rs
+++ b/crates/stackpier-load/src/capacity/build/message.rs
@@ -14,7 +14,7 @@
     self, CAPACITY, WORKER_BOOT, WORKERS_PER_RACK, data_centre, member, numbered, run, work, worker,
 };
 
-/// report builds the report of a rack with a count of service tasks.
+/// report builds the report of a rack with a number of service tasks.
 fn report(rack: usize, endpoints: usize) -> RackReport {
     let worker = |number: usize| WorkerReport {
         worker: worker(number),
@@ -38,14 +38,14 @@
     }
 }
 
-/// reports builds reports of a count of racks.
+/// reports builds the reports of a number of racks without service tasks.
 pub fn reports(racks: usize) -> BTreeMap<Name, RackReport> {
     (0..racks)
         .map(|rack| (numbered("rack", rack), report(rack, 0)))
         .collect()
 }
 
-/// heartbeat builds a heartbeat with one rack and a count of service tasks.
+/// heartbeat builds a heartbeat with one rack and a number of service tasks.
 pub fn heartbeat(endpoints: usize) -> Heartbeat {
     Heartbeat {
         from: member(0),
@@ -59,7 +59,7 @@
     }
 }
 
-/// call builds a worker call with runs to forget and runs to start.
+/// call builds a call to a worker with a number of runs to forget and a number to start.
 pub fn call(forget: usize, start: usize) -> Call {
     let started = |number: usize| Start {
         run: run(number),
@@ -78,7 +78,7 @@
     }
 }
 
-/// reply builds a worker's reply with a count of running tasks and one ended.
+/// reply builds a worker's reply with a number of running tasks and one that has ended.
 pub fn reply(runs: usize) -> Reply {
     Reply {
         name: worker(0),
--- a/crates/stackpier-load/src/capacity/build/page.rs
+++ b/crates/stackpier-load/src/capacity/build/page.rs
@@ -21,16 +21,16 @@
     data_centre, member, numbered, run, task, work, worker,
 };
 
-/// RACKS is the count of racks that claims are spread over.
+/// RACKS is the number of racks that claims are spread over.
 pub(super) const RACKS: usize = 25;
-/// DAEMONS is the count of daemons in a version of the holder map.
+/// DAEMONS is the number of daemons in a version of the holder map.
 const DAEMONS: usize = 9;
-/// TEAMS is the count of teams that hand intents in.
+/// TEAMS is the number of teams that submit intents.
 const TEAMS: usize = 510;
-/// HOME_SHARDS is the default count of homes pages of a data centre.
+/// HOME_SHARDS is the default number of homes pages of a data centre.
 const HOME_SHARDS: usize = 8;
 
-/// rack builds a rack's page with a count of runs.
+/// rack builds a rack's page with a number of runs.
 pub fn rack(runs: usize) -> Rack {
     let me = member(0);
     let row = |number: usize| Row {
@@ -60,7 +60,7 @@
     }
 }
 
-/// homes builds a homes page with a count of claimed tasks.
+/// homes builds a homes page with a number of claimed tasks.
 pub fn homes(tasks: usize) -> homes::Shard {
     let home = |number: usize| Home {
         attempt: Attempt(2),
@@ -101,7 +101,7 @@
     }
 }
 
-/// intents builds an intents page with a count of intents.
+/// intents builds an intents page with a number of intents.
 pub fn intents(count: usize) -> intent::Shard {
     intent::Shard {
         write: WRITE,
@@ -109,7 +109,7 @@
     }
 }
 
-/// catalogue builds the intents for a count of tasks.
+/// catalogue builds the catalogue of intents for a number of tasks.
 pub fn catalogue(tasks: usize) -> Catalogue {
     let mut shards: BTreeMap<u16, intent::Shard> = BTreeMap::new();
     for number in 0..tasks / TASKS_PER_JOB {
@@ -127,7 +127,7 @@
     catalogue
 }
 
-/// holders builds a holder map with a count of versions.
+/// holders builds a holder map with a number of versions.
 pub fn holders(versions: usize) -> Map {
     let mut map = Map::default();
     for version in 0..versions {
--- a/crates/stackpier-load/src/capacity/build/sample.rs
+++ b/crates/stackpier-load/src/capacity/build/sample.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Names, tasks and daemons of usual length, by number.
+//! Sample names, tasks and daemons, derived from a number. Their encoded lengths are realistic,
+//! since they decide the measured sizes.
 
 use stackpier_core::{
     Name, Size,
@@ -12,43 +13,43 @@
 
 use crate::label::name;
 
-/// WORKERS_PER_RACK is the users' count.
+/// WORKERS_PER_RACK is the number of workers per rack in the operators' deployments.
 pub(super) const WORKERS_PER_RACK: usize = 8;
-/// TASKS_PER_JOB is the count of tasks of every job.
+/// TASKS_PER_JOB is the number of tasks of every job.
 pub(super) const TASKS_PER_JOB: usize = 8;
-/// UNIX_MS is a time of usual length, in milliseconds since 1970.
+/// UNIX_MS is a time with a realistic number of digits, in milliseconds since 1970.
 pub(super) const UNIX_MS: u64 = 1_780_000_000_000;
-/// DAEMON_BOOT is a boot of a daemon of usual length.
+/// DAEMON_BOOT is a boot number of a daemon with a realistic number of digits.
 const DAEMON_BOOT: u64 = UNIX_MS << 20;
-/// WORKER_BOOT is a boot of a worker of usual length: nanoseconds since 1970.
+/// WORKER_BOOT is a boot number of a worker: nanoseconds since 1970.
 pub(super) const WORKER_BOOT: u64 = UNIX_MS * 1_000_000;
 /// RUN_TIME_MS is the declared run time of a batch task: an hour.
 pub(super) const RUN_TIME_MS: u64 = 3_600_000;
-/// GOLDEN_RATIO spreads numbers over 64 bits: 2^64 over the golden ratio.
+/// GOLDEN_RATIO is 2^64 divided by the golden ratio; multiples of it spread over 64 bits.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
-/// WRITE is a write number of usual length.
+/// WRITE is a write number with a realistic number of digits.
 pub(super) const WRITE: Write = Write {
     boot: Boot(DAEMON_BOOT),
     number: 12_345,
 };
-/// CAPACITY is what each worker offers.
+/// CAPACITY is the capacity of each worker.
 pub(super) const CAPACITY: Size = Size {
     milli_cores: 3_200_000,
     memory_mib: 125_000_000,
     accelerators: 2,
 };
 
-/// numbered returns a name with a number of four digits.
+/// numbered returns a name that ends in a number of at least four digits.
 pub(super) fn numbered(text: &str, number: usize) -> Name {
     name(&format!("{text}-{number:04}"))
 }
 
-/// data_centre returns the one data centre.
+/// data_centre returns the name of the only data centre.
 pub(super) fn data_centre() -> Name {
     name("dc-lagos-1")
 }
 
-/// task returns a task; its job is a random number of full length.
+/// task returns a task whose job number uses all 64 bits.
 pub(super) fn task(number: usize) -> Task {
     Task {
         job: Job(GOLDEN_RATIO.wrapping_mul(1 + (number / TASKS_PER_JOB) as u64)),
@@ -64,7 +65,8 @@
     }
 }
 
-/// work returns a task of a batch job, or of a service for every sixth number.
+/// work returns the description of a task: every sixth belongs to a service, the others to batch
+/// jobs.
 pub(super) fn work(number: usize) -> Work {
     Work {
         task: task(number),
@@ -85,12 +87,12 @@
     }
 }
 
-/// worker returns the name of a worker of a rack.
+/// worker returns the name of a worker; the names repeat for every rack.
 pub(super) fn worker(number: usize) -> Name {
     numbered("worker", number % WORKERS_PER_RACK)
 }
 
-/// member returns a daemon.
+/// member returns the membership entry of a daemon.
 pub(super) fn member(number: usize) -> Member {
     Member {
         vm: numbered("entry", number),
--- a/crates/stackpier-load/src/capacity/fit.rs
+++ b/crates/stackpier-load/src/capacity/fit.rs
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A straight line through points, by least squares.
+//! Least-squares fit of a straight line.
 
-/// Line is `fixed + per_item * count`.
+/// Line is a fitted line `fixed + per_item * count`.
 #[derive(Clone, Copy, Debug)]
 pub struct Line {
-    /// Value at a count of zero.
+    /// The value at a count of zero.
     pub fixed: f64,
-    /// What each item adds.
+    /// The increase of the value per item.
     pub per_item: f64,
-    /// Largest distance of a point from the line, as a share of the point.
+    /// The largest error of the line at a point, as a share of the point's value.
     pub worst_error: f64,
 }
 
-/// fit_line fits points of count and value.
+/// fit_line fits a line to points of (count, value).
 pub fn fit_line(points: &[(f64, f64)]) -> Line {
     let count = points.len() as f64;
     let mean = |values: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(values).sum::<f64>() / count;
