--- a/crates/stackpier-load/src/capacity.rs
+++ b/crates/stackpier-load/src/capacity.rs
@@ -115,7 +115,13 @@
         time_placer_tick,
     ),
     subject("who is live", "entry VMs", "us", 9, time_live_list),
-    subject("choice of an upstream", "upstreams", "us", 17, time_upstream_choice),
+    subject(
+        "choice of an upstream",
+        "upstreams",
+        "us",
+        17,
+        time_upstream_choice,
+    ),
 ];
 
 const fn subject(
--- a/crates/stackpier-load/src/cell.rs
+++ b/crates/stackpier-load/src/cell.rs
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A small model of the workers, jobs and faults of a cell, over the same decisions as
-//! the daemon's: without network, on a clock of its own, deterministic by its seed.
+//! A simulation of the workers, jobs and faults of a cell. It runs the decision code of the daemon
+//! without a network, on a simulated clock, and is deterministic for a seed.
 //!
-//! Days are described by a [`site::Deployment`], its [`fault::TimedFault`]s and the owner's
-//! options; [`pattern`] names the heavy ones and says where their figures come from.
+//! A [`simulation::Scenario`] consists of a [`deployment::Deployment`], its
+//! [`fault::TimedFault`]s and the owner's options; [`pattern`] names the heavy scenarios and says
+//! where their figures come from.
 
 pub mod deployment;
 pub mod fault;
--- a/crates/stackpier-load/src/cell/deployment.rs
+++ b/crates/stackpier-load/src/cell/deployment.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The workers and the kinds of jobs of a deployment in the model.
+//! The workers and the kinds of jobs of a simulated deployment.
 
 use std::f64::consts::TAU;
 
@@ -9,88 +9,89 @@
 
 use super::ground_truth::{Pairs, Serving};
 
-/// SERVICE names the only service.
+/// SERVICE is the name of the only service.
 pub const SERVICE: &str = "service";
-/// LATE_FACTOR is how many objectives after its hand-in a job still earns something.
+/// LATE_FACTOR is the time after its submission, as a multiple of its objective, until which a job
+/// still earns something.
 pub const LATE_FACTOR: f64 = 3.0;
 
-/// Role is what a kind's tasks are to the owner.
+/// Role is the type of a kind's tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// They count in a worker's room and end by themselves.
+    /// Short tasks with guaranteed capacity, which end by themselves.
     Short,
-    /// They use what others leave unused.
+    /// Best-effort tasks, which use the capacity that others leave unused.
     BestEffort,
-    /// They last and serve.
+    /// Long-running tasks with a tail-latency target.
     Serving,
 }
 
-/// Kind is one kind of jobs.
+/// Kind describes one kind of jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
     /// The kind's name, also of its queue.
     pub name: &'static str,
-    /// What its tasks are.
+    /// The type of its tasks.
     pub role: Role,
-    /// Jobs a second.
+    /// Jobs per second.
     pub per_s: f64,
-    /// Jobs that are there when the day begins.
+    /// Jobs that are submitted when the scenario begins.
     pub at_start: u32,
-    /// The mean number of steps, each after the one before.
+    /// The mean number of steps of a job; each step follows the one before.
     pub steps: f64,
-    /// The mean number of tasks of a step, and the most.
+    /// The mean and the maximum number of tasks of a step.
     pub width: (f64, u32),
-    /// The mean work of a task, in milliseconds; how long a serving job stays.
+    /// The mean work of a task, in milliseconds; for a serving job, the time until it is cancelled.
     pub work_ms: f64,
     /// The mean size of a task, in cores and GiB.
     pub size: (f64, f64),
-    /// How far estimates are off, as a share.
+    /// The largest error of run time estimates, as a share of the work.
     pub estimate_error: f64,
-    /// The objective over the chain of work.
+    /// The factor on the total work of a job's steps in its objective.
     pub stretch: f64,
-    /// What the objective allows besides, in milliseconds.
+    /// A constant that the objective adds, in milliseconds.
     pub target_ms: u32,
-    /// The priority of its queue: zero goes first.
+    /// The priority of its queue; zero is the highest.
     pub priority: u8,
-    /// How many failed runs fail a job.
+    /// The number of failed runs after which a job fails.
     pub attempts: u16,
-    /// What a job earns in time, or a serving one every two seconds.
+    /// The value of a job that meets its deadline, or of a serving job for every two seconds.
     pub value: f64,
-    /// What it earns late.
+    /// The value of a job that misses its deadline but ends within `LATE_FACTOR`.
     pub late_value: f64,
     /// The number of images.
     pub images: usize,
-    /// The share of steps of which a worker may have one task only.
+    /// The share of steps of which a worker may run only one task at a time.
     pub one_per_worker: f64,
-    /// The share of runs that fail by their own fault.
+    /// The share of runs that fail through their own fault, not the worker's.
     pub failure_share: f64,
 }
 
-/// Deployment is a deployment.
+/// Deployment describes the workers and the traffic of a scenario.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The number of workers.
     pub workers: usize,
-    /// Workers in a rack.
+    /// The number of workers in a rack.
     pub per_rack: usize,
-    /// What each offers.
+    /// The capacity of each worker.
     pub capacity: Size,
-    /// The kinds of jobs: short, filling, serving.
+    /// The kinds of jobs: short, best-effort, serving.
     pub kinds: Vec<Kind>,
-    /// How filling images press on serving ones.
+    /// How much best-effort images disturb serving ones.
     pub pairs: Pairs,
-    /// How serving tasks behave.
+    /// The load and the latency of serving tasks.
     pub serving: Serving,
-    /// How long the traffic goes on, in milliseconds.
+    /// How long jobs arrive, in milliseconds.
     pub length_ms: u64,
 }
 
-/// image_name names an image of a kind.
+/// image_name returns the name of an image of a kind.
 pub fn image_name(kind: &Kind, number: usize) -> String {
     format!("{}-{number}", kind.name)
 }
 
-/// size returns a size of some cores and GiB.
+/// size converts cores and GiB to a size.
 fn size(cores: f64, gib: f64) -> Size {
     Size {
         milli_cores: (cores * 1_000.0) as u32,
@@ -99,15 +100,15 @@
     }
 }
 
-/// draw_around draws a value around a mean, skewed as sizes of jobs are: some are several
-/// times the mean.
+/// draw_around draws a value with the given mean. The distribution is skewed, as the sizes of jobs
+/// are: some values are several times the mean.
 fn draw_around<R: Rng>(random: &mut R, mean: f64) -> f64 {
     let factor = -(1.0 - random.random::<f64>()).ln();
     mean * (0.5 + 0.5 * factor)
 }
 
 impl Kind {
-    /// queue returns its queue.
+    /// queue returns the queue of the kind.
     pub fn queue(&self) -> Queue {
         Queue {
             name: self.name.to_owned(),
@@ -121,7 +122,8 @@
         }
     }
 
-    /// draw draws a job: its description, and the work of a task of each step.
+    /// draw draws a random job: its description, and for each step its image and the work of its
+    /// tasks.
     pub fn draw<R: Rng>(&self, random: &mut R, serving: &Serving) -> Drawn {
         let count = draw_around(random, self.steps).round().max(1.0) as u16;
         let mut steps = Vec::new();
@@ -158,7 +160,7 @@
         let (width, max_width) = self.width;
         let (cores, gib) = self.size;
         let error_share = random.random_range(-self.estimate_error..=self.estimate_error);
-        let lasts = self.role == Role::Serving;
+        let is_serving = self.role == Role::Serving;
         Step {
             count: (draw_around(random, width) as u32).clamp(1, max_width),
             size: size(
@@ -168,26 +170,26 @@
             estimate_ms: (work_ms * (1.0 + error_share)).max(50.0) as u32,
             after: number.checked_sub(1).into_iter().collect(),
             checkpointing: self.role == Role::BestEffort,
-            long_running: lasts,
+            long_running: is_serving,
             image: image_name(self, image),
-            target_ms: if lasts { serving.target_ms() } else { 0 },
+            target_ms: if is_serving { serving.target_ms() } else { 0 },
             best_effort: self.role == Role::BestEffort,
-            may_miss: lasts.then_some(1),
+            may_miss: is_serving.then_some(1),
             most_per_worker: random.random_bool(self.one_per_worker).then_some(1),
             ..Step::default()
         }
     }
 }
 
-/// Drawn is a job that was drawn.
+/// Drawn holds the random properties of a job.
 #[derive(Clone, Debug)]
 pub struct Drawn {
-    /// What is handed in.
+    /// The submitted description.
     pub spec: Spec,
     /// The work of a task of each step, in milliseconds.
     pub work_ms: Vec<u64>,
-    /// The image of each step, by its number.
+    /// The number of the image of each step.
     pub images: Vec<usize>,
-    /// The phase of the swing of its load, if it serves.
+    /// The phase of its load's oscillation, for a serving job.
     pub phase: f64,
 }
--- a/crates/stackpier-load/src/cell/ground_truth.rs
+++ b/crates/stackpier-load/src/cell/ground_truth.rs
@@ -1,47 +1,47 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the workers of the model do to the tasks on them: the load of serving tasks,
-//! their tail latency, and what filling tasks add. The owner has to learn it.
+//! The interference that the owner has to learn: the load of serving tasks, their tail latency, and
+//! the load that best-effort tasks on the same worker add.
 
 use std::{collections::BTreeMap, f64::consts::TAU};
 
 use rand::{Rng, RngExt};
 
-/// LOAD_LIMIT is the highest load that a tail shows.
+/// LOAD_LIMIT caps the load in the formula of the tail latency, which has a pole at 1.
 const LOAD_LIMIT: f64 = 0.98;
 
-/// Pairs is how strongly filling images press on serving ones.
+/// Pairs describes how much best-effort images disturb serving ones.
 #[derive(Clone, Copy, Debug)]
 pub struct Pairs {
-    /// The share of pairs that press hard.
+    /// The share of heavy pairs.
     pub heavy_share: f64,
-    /// The load that one core of a heavy pair adds: least and most.
+    /// The load that one core of the best-effort image adds in a heavy pair: minimum and maximum.
     pub heavy_range: (f64, f64),
-    /// The same for the others.
+    /// The same for the other pairs.
     pub light_range: (f64, f64),
 }
 
-/// Serving is how serving tasks behave.
+/// Serving describes the load and the latency of serving tasks.
 #[derive(Clone, Copy, Debug)]
 pub struct Serving {
     /// The tail latency without load, in milliseconds.
     pub tail_ms: f64,
-    /// The target over that.
+    /// The latency target, as a multiple of `tail_ms`.
     pub target_factor: f64,
-    /// The mean of the own load.
+    /// The mean of a task's own load.
     pub load: f64,
-    /// The swing of the own load, as a share of the mean.
+    /// The amplitude of the own load's oscillation, as a share of the mean.
     pub swing: f64,
-    /// The period of the swing, in seconds.
+    /// The period of the oscillation, in seconds.
     pub swing_s: f64,
 }
 
 impl Serving {
-    /// target_ms returns the target of the tail.
+    /// target_ms returns the target of the tail latency, in milliseconds.
     pub fn target_ms(&self) -> u32 {
         (self.tail_ms * self.target_factor) as u32
     }
 
-    /// load_at_target returns the load at which the tail is at its target.
+    /// load_at_target returns the load at which the tail latency equals its target.
     pub fn load_at_target(&self) -> f64 {
         1.0 - 1.0 / self.target_factor
     }
@@ -52,17 +52,18 @@
     }
 }
 
-/// GroundTruth is what is true of all images.
+/// GroundTruth holds the real interference between all images.
 #[derive(Clone, Debug)]
 pub struct GroundTruth {
-    /// How serving tasks behave.
+    /// The load and the latency of serving tasks.
     pub serving: Serving,
-    /// By serving, then by filling image: the load that one core adds.
+    /// The load that one core adds, by serving and then by best-effort image.
     coefficients: Vec<Vec<f64>>,
 }
 
 impl GroundTruth {
-    /// draw draws the pairs of some serving and filling images.
+    /// draw draws the coefficients of all pairs. `images` holds the numbers of serving and of
+    /// best-effort images.
     pub fn draw<R: Rng>(
         random: &mut R,
         serving: Serving,
@@ -86,14 +87,13 @@
         }
     }
 
-    /// coefficient returns the load that one core of a filling image adds to a serving
-    /// one.
+    /// coefficient returns the load that one core of a best-effort image adds to a serving image.
     pub fn coefficient(&self, serving: usize, best_effort: usize) -> f64 {
         self.coefficients[serving][best_effort]
     }
 
-    /// own_load returns the load of a serving task without what fills beside it. The
-    /// tasks of a step swing together, with a phase of their own.
+    /// own_load returns the load of a serving task without best-effort tasks on its worker. The tasks
+    /// of a step oscillate together, with the phase of their job.
     pub fn own_load(&self, phase: f64, now_ms: u64) -> f64 {
         let Serving {
             load,
@@ -105,8 +105,8 @@
         load * (1.0 + swing * angle.sin())
     }
 
-    /// added_load returns the load that filling images add to a serving one, by the cores
-    /// that each uses.
+    /// added_load returns the load that best-effort images add to a serving image. `cores` holds the
+    /// cores that each uses.
     pub fn added_load(&self, serving: usize, cores: &BTreeMap<usize, f64>) -> f64 {
         let load_of =
             |(best_effort, cores): (&usize, &f64)| self.coefficient(serving, *best_effort) * cores;
--- a/crates/stackpier-load/src/cell/job.rs
+++ b/crates/stackpier-load/src/cell/job.rs
@@ -1,51 +1,51 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Jobs of the model from their hand-in to their end.
+//! Jobs of the simulation, from their submission to their end.
 
 use stackpier_standin::fleet::Behaviour;
 
 use super::deployment::{Drawn, Kind, LATE_FACTOR, Role};
 
-/// Job is a job that a client account handed in, or tries to.
+/// Job is a job that a client account has submitted or tries to submit.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Its kind.
     pub kind: Kind,
-    /// What was drawn for it.
+    /// Its random properties.
     pub drawn: Drawn,
-    /// When it was first sent.
+    /// When it was first sent, in milliseconds.
     pub sent_ms: u64,
     /// Whether it was accepted.
     pub accepted: bool,
-    /// Whether it is over: done, cancelled or given up.
+    /// Whether it is completed, failed, cancelled or given up by its client account.
     pub over: bool,
-    /// When a task of it first started.
+    /// When its first task started, in milliseconds.
     pub first_start_ms: Option<u64>,
-    /// The tasks of the first step that have started, by their place.
+    /// Which tasks of the first step have started, by index.
     pub started: Vec<bool>,
-    /// Sums over the samples of a serving job since it was last paid.
+    /// Sums over the samples of a serving job since its value was last credited.
     pub tally: ServingTally,
 }
 
-/// ServingTally sums up the samples of a serving job.
+/// ServingTally counts the tasks of a serving job, summed over samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServingTally {
-    /// Tasks that were to be at work.
+    /// Tasks that should have been running.
     pub expected: u32,
-    /// Tasks at work.
+    /// Tasks that were running.
     pub running: u32,
-    /// Tasks over their target, or paced down.
+    /// Tasks over their latency target.
     pub over: u32,
-    /// Of these, tasks that would not be without what fills beside them.
+    /// Of these, tasks that would meet the target without the best-effort tasks on their worker.
     pub harmed: u32,
 }
 
-/// HARM_FACTOR is how many times a task counts that is over its target because of what
-/// fills beside it.
+/// HARM_FACTOR is the weight of a task that is over its target because of best-effort tasks on its
+/// worker.
 const HARM_FACTOR: f64 = 4.0;
 
 impl ServingTally {
-    /// share returns the share of what was owed that was earned.
-    pub fn share(&self) -> f64 {
+    /// goodput returns the share of the achievable value that was earned.
+    pub fn goodput(&self) -> f64 {
         if self.expected == 0 {
             return 1.0;
         }
@@ -55,7 +55,7 @@
 }
 
 impl Job {
-    /// new is a job that is sent now.
+    /// new creates a job that is first sent now.
     pub fn new(kind: Kind, drawn: Drawn, now_ms: u64) -> Job {
         let width = drawn.spec.steps[0].count as usize;
         Job {
@@ -70,13 +70,13 @@
         }
     }
 
-    /// objective_ms returns within which time it should be done.
+    /// objective_ms returns the time after its submission within which the job should complete.
     pub fn objective_ms(&self) -> u64 {
-        let chain: u64 = self.drawn.work_ms.iter().sum();
-        (chain as f64 * self.kind.stretch) as u64 + u64::from(self.kind.target_ms)
+        let total_work_ms: u64 = self.drawn.work_ms.iter().sum();
+        (total_work_ms as f64 * self.kind.stretch) as u64 + u64::from(self.kind.target_ms)
     }
 
-    /// value_after returns what it earns if it is done after some milliseconds.
+    /// value_after returns the value that the job earns if it completes after `took_ms`.
     pub fn value_after(&self, took_ms: u64) -> f64 {
         let objective = self.objective_ms();
         if took_ms <= objective {
@@ -88,21 +88,21 @@
         }
     }
 
-    /// behaviour returns what a task of a step does.
+    /// behaviour returns the simulated behaviour of a task of a step.
     pub fn behaviour(&self, step: u16) -> Behaviour {
         let index = usize::from(step);
-        let shape = &self.drawn.spec.steps[index];
-        let mut size = shape.size;
+        let step_spec = &self.drawn.spec.steps[index];
+        let mut size = step_spec.size;
         let mut fills_milli = 0;
-        if shape.best_effort {
+        if step_spec.best_effort {
             fills_milli = std::mem::take(&mut size.milli_cores);
         }
         Behaviour {
             work_ms: self.drawn.work_ms[index],
             size,
             fills_milli,
-            saves: shape.checkpointing,
-            lasts: shape.long_running,
+            saves: step_spec.checkpointing,
+            lasts: step_spec.long_running,
             tail_ms: (self.kind.role == Role::Serving).then_some(0),
             ..Behaviour::default()
         }
--- a/crates/stackpier-load/src/cell/outcome.rs
+++ b/crates/stackpier-load/src/cell/outcome.rs
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What came of a day in the model.
+//! The outcome of a simulated scenario.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::Serialize;
 use stackpier_cell::{Event, Renewed};
 
-/// EventKind is what the owner is told by an event.
+/// EventKind classifies the events that the owner receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum EventKind {
-    /// A worker's report in which nothing ended.
+    /// A worker's report without ended runs.
     Report,
-    /// A worker's report with ends.
+    /// A worker's report with ended runs, or an unanswered lease renewal.
     Ends,
-    /// Time has passed.
+    /// The periodic tick.
     Tick,
     /// A job was accepted or cancelled.
     Job,
-    /// Anything else.
+    /// Any other event.
     Other,
 }
 
@@ -36,31 +36,33 @@
     }
 }
 
-/// ByKind is what came of the jobs of one kind.
+/// KindOutcome holds the outcome of the jobs of one kind.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct ByKind {
-    /// Jobs that were handed in.
+pub struct KindOutcome {
+    /// Jobs that were accepted or refused for good.
     pub jobs: u64,
-    /// Jobs that were refused for good.
+    /// Jobs that were refused until their client account gave up.
     pub refused: u64,
-    /// Jobs done in time.
+    /// Jobs that met their deadline.
     pub in_time: u64,
-    /// Jobs done late, but early enough to earn something.
+    /// Jobs that missed their deadline but still earned something.
     pub late: u64,
-    /// What was owed.
+    /// The value that was achievable.
+    #[serde(rename = "owed")]
     pub achievable: f64,
-    /// What was earned.
+    /// The value that was earned.
     pub earned: f64,
-    /// The time from the hand-in of each job to its first start, in milliseconds.
+    /// The time from each job's submission to its first start, in milliseconds.
     #[serde(skip)]
     pub first_start_ms: Vec<u64>,
-    /// The time from the first to the last first start of a job's first step.
+    /// For each job, the time between the starts of the first and the last task of its first step,
+    /// in milliseconds.
     #[serde(skip)]
     pub spread_ms: Vec<u64>,
 }
 
-impl ByKind {
-    /// goodput returns what was earned of what was owed.
+impl KindOutcome {
+    /// goodput returns the share of the achievable value that was earned.
     pub fn goodput(&self) -> f64 {
         if self.achievable == 0.0 {
             return 1.0;
@@ -69,7 +71,7 @@
     }
 }
 
-/// percentile returns a percentile of some times, zero if there are none.
+/// percentile returns a percentile of times, zero if there are none.
 pub fn percentile(times: &[u64], share: f64) -> u64 {
     let mut sorted = times.to_vec();
     sorted.sort_unstable();
@@ -78,46 +80,46 @@
     sorted.get(index.min(last)).copied().unwrap_or(0)
 }
 
-/// Outcome is what came of a day.
+/// Outcome holds the counts and figures of a simulated scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// By the kind's name.
-    pub kinds: BTreeMap<&'static str, ByKind>,
-    /// Starts that workers took.
+    /// The outcome of each kind of job, by the kind's name.
+    pub kinds: BTreeMap<&'static str, KindOutcome>,
+    /// Starts that workers accepted.
     pub starts: u64,
-    /// Starts of tasks that a run had ended as done.
+    /// Starts of tasks of which a run was already done.
     pub repeats: u64,
-    /// Runs that were told to stop.
+    /// Stop orders that the owner sent.
     pub stops: u64,
-    /// Starts of filling tasks on workers that serve nothing.
+    /// Starts of best-effort tasks on workers without serving tasks.
     pub best_effort_starts_apart: u64,
-    /// Starts of filling tasks.
+    /// Starts of best-effort tasks.
     pub best_effort_starts: u64,
-    /// Seconds, over all serving tasks, over the target because of what fills beside.
+    /// Time over the latency target because of best-effort tasks on the worker, in seconds, summed
+    /// over all serving tasks.
     pub harmed_s: f64,
-    /// Seconds, over all serving tasks, that they should have been at work and were not.
-    pub away_s: f64,
-    /// The longest time that a step had nothing running though its turn had come.
+    /// Time not running although requested, in seconds, summed over all serving tasks.
+    pub not_running_s: f64,
+    /// The longest time that a ready step had no task running, in milliseconds.
     pub longest_idle_ms: u64,
-    /// Ratings of workers that placing did.
+    /// How many times the placement rated a worker for a task.
     pub ratings: u64,
-    /// The most ratings that placing did in one call.
+    /// The most ratings within one call of the owner's decisions.
     pub max_ratings: u64,
-    /// How long each call of the owner's decisions took, by the real clock, and by what
-    /// it was told.
+    /// How long each call of the owner's decisions took, by the real clock and by kind of event.
     pub step_times: BTreeMap<EventKind, Vec<Duration>>,
 }
 
 impl Outcome {
-    /// goodput returns what was earned of what was owed, over all kinds.
+    /// goodput returns the share of the achievable value that was earned, over all kinds.
     pub fn goodput(&self) -> f64 {
         let achievable: f64 = self.kinds.values().map(|kind| kind.achievable).sum();
         let earned: f64 = self.kinds.values().map(|kind| kind.earned).sum();
         earned / achievable.max(f64::EPSILON)
     }
 
-    /// of returns what came of a kind.
-    pub fn of(&self, kind: &str) -> ByKind {
+    /// of returns the outcome of the jobs of a kind.
+    pub fn of(&self, kind: &str) -> KindOutcome {
         self.kinds.get(kind).cloned().unwrap_or_default()
     }
 }
--- a/crates/stackpier-load/src/cell/pattern.rs
+++ b/crates/stackpier-load/src/cell/pattern.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The heavy days by name. Sizes, rates and pairs are those of a customer's sheet of 66
-//! workers: wholesale orders (short), production plans (filling) and route tracking
-//! (serving). Faults are as strong and as long as the sheet says they may be.
+//! The heavy scenarios by name. Sizes, rates and pairs come from the specification of a deployment
+//! of 66 workers that runs wholesale orders (short), production plans (best-effort) and route
+//! tracking (serving). Faults are as strong and as long as that specification allows.
 
 use stackpier_cell::Options;
 use stackpier_core::Size;
@@ -14,31 +14,31 @@
     simulation::Scenario,
 };
 
-/// SHORT names the kind of the short tasks.
+/// SHORT is the name of the kind of short jobs.
 pub const SHORT: &str = "order-intake";
-/// BEST_EFFORT names the kind of the filling tasks.
+/// BEST_EFFORT is the name of the kind of best-effort jobs.
 pub const BEST_EFFORT: &str = "bake-plan";
-/// SERVING names the kind of the tasks that last.
+/// SERVING is the name of the kind of serving jobs.
 pub const SERVING: &str = "route-watch";
-/// BEST_EFFORT_INDEX is the place of the filling kind.
+/// BEST_EFFORT_INDEX is the index of the best-effort kind in the deployment's kinds.
 const BEST_EFFORT_INDEX: usize = 1;
-/// USUAL are the pairs of most days: a good half presses, but few so hard that a start
-/// of seven cores moves a load of 0.45 over its limit.
+/// USUAL describes the pairs of most scenarios. A good half of the pairs disturb each other, but
+/// with few of them does the start of seven cores raise a load of 0.45 over its limit.
 const USUAL: Pairs = Pairs {
     heavy_share: 0.25,
     heavy_range: (0.03, 0.06),
     light_range: (0.001, 0.008),
 };
-/// HARD are the pairs of the days on which most disturb each other: what was learnt on
-/// one such day had 0.03 to 0.09 for six pairs of ten.
+/// HARD describes the pairs of scenarios in which most images disturb each other. In such a
+/// scenario the owner learnt coefficients of 0.03 to 0.09 for six pairs of ten.
 const HARD: Pairs = Pairs {
     heavy_share: 0.75,
     heavy_range: (0.03, 0.09),
     light_range: (0.001, 0.008),
 };
 
-/// deployment returns the deployment: 66 workers of 64 cores, of which serving tasks hold 94%
-/// at the beginning and less as they end.
+/// deployment returns a deployment of 66 workers of 64 cores. Serving tasks are allocated 94% of
+/// the cores at the beginning, and less as they end.
 pub fn deployment() -> Deployment {
     Deployment {
         workers: 66,
@@ -122,21 +122,21 @@
     }
 }
 
-/// Pattern is a heavy day by its name.
+/// Pattern identifies a heavy scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pattern {
-    /// Nothing happens: what the others are compared with.
+    /// No fault: the baseline for the others.
     Calm,
-    /// Most pairs of images disturb each other throughout.
+    /// Most pairs of images disturb each other all the time.
     HeavyPairs,
-    /// A third of the workers, a data centre, is cut off while the room is full.
+    /// A third of the workers, a data centre, is unreachable while no capacity is free.
     CutWhenFull,
-    /// BestEffort jobs come 2.6 times as often for four seconds, with wide steps.
+    /// Best-effort jobs, whose steps are wide, arrive 2.6 times as often for four seconds.
     WideBurst,
-    /// Workers are slow, fail what they start, or stand still, one after the other and
-    /// together; orders are carried out late.
+    /// Workers are slow, fail the tasks that they start, or make no progress, partly at the same
+    /// time; start orders are executed late.
     BadWorkers,
-    /// The store is away for 4.5 s in the middle of a burst.
+    /// The store is unavailable for 4.5 s in the middle of a burst.
     StoreAway,
 }
 
@@ -163,7 +163,7 @@
         }
     }
 
-    /// scenario returns the pattern as a day.
+    /// scenario returns the pattern's scenario.
     pub fn scenario(self) -> Scenario {
         let mut deployment = deployment();
         if self == Pattern::HeavyPairs {
--- a/crates/stackpier-load/src/cell/scenarios.rs
+++ b/crates/stackpier-load/src/cell/scenarios.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The heavy days as a table, each also with the pairs known from the beginning: what
-//! knowledge alone would bring.
+//! Prints the outcomes of the heavy scenarios as a table. Each is also simulated with the pairs
+//! known from the beginning, which shows what perfect knowledge of them would gain.
 
 use anyhow::Result;
 use serde::Serialize;
@@ -12,33 +12,42 @@
 };
 use crate::table;
 
-/// SEEDS is how many seeds each day is played with.
+/// SEEDS is the number of seeds that each scenario is simulated with.
 const SEEDS: u64 = 4;
 
-/// Row is what came of one day, the mean over its seeds.
+/// Row holds the outcome of one scenario. Figures are means over its seeds unless said otherwise.
 #[derive(Serialize)]
 struct Row {
+    #[serde(rename = "day")]
     scenario: &'static str,
     pairs: &'static str,
-    /// What was earned of what was owed.
+    /// The share of the achievable value that was earned.
+    #[serde(rename = "share")]
     goodput: f64,
-    /// The lowest and the highest of the seeds.
+    /// The lowest goodput of a seed.
+    #[serde(rename = "least")]
     min_goodput: f64,
+    /// The highest goodput of a seed.
+    #[serde(rename = "most")]
     max_goodput: f64,
+    /// The goodput of each kind of job.
     short: f64,
+    #[serde(rename = "filling")]
     best_effort: f64,
     serving: f64,
     short_first_p95_ms: u64,
     short_spread_p95_ms: u64,
+    #[serde(rename = "filling_first_p95_ms")]
     best_effort_first_p95_ms: u64,
     longest_idle_ms: u64,
     harmed_s: f64,
     stops: u64,
     refused: u64,
+    #[serde(rename = "filled_apart")]
     best_effort_apart: f64,
 }
 
-/// run prints the table.
+/// run simulates all scenarios and prints the table.
 pub fn run(seed: u64, json: bool) -> Result<()> {
     let mut rows = Vec::new();
     for pattern in Pattern::ALL {
@@ -60,7 +69,7 @@
     let mean =
         |of: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
     let goodput = |kind: &'static str| mean(&|outcome| outcome.of(kind).goodput());
-    let times = |kind: &'static str, of: fn(super::outcome::ByKind) -> Vec<u64>| {
+    let times = |kind: &'static str, of: fn(super::outcome::KindOutcome) -> Vec<u64>| {
         let all: Vec<u64> = outcomes
             .iter()
             .flat_map(|outcome| of(outcome.of(kind)))
--- a/crates/stackpier-load/src/cell/simulation.rs
+++ b/crates/stackpier-load/src/cell/simulation.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The course of a day: what happens, in order of time, between client accounts, the
-//! owner's decisions and the workers.
+//! The discrete-event simulation of a scenario: client accounts, the owner's decisions and the
+//! workers act on each other in order of simulated time.
 
 mod calls;
 mod clients;
@@ -30,58 +30,58 @@
 
 /// TICK_MS is the time between two ticks of the owner.
 const TICK_MS: u64 = 50;
-/// START_UNIX_MS is the wall clock when a day begins.
+/// START_UNIX_MS is the wall clock at the beginning of a scenario.
 const START_UNIX_MS: u64 = 1_000_000_000;
-/// FENCE is the fence of the only owner.
+/// FENCE is the fencing token of the only owner.
 const FENCE: u64 = 1;
-/// FINISH_MS is how long a day goes on after its traffic, so that jobs can end.
+/// FINISH_MS is how long a simulation continues after the last arrival, so that jobs can end.
 const FINISH_MS: u64 = 14_000;
-/// KNOWN_VARIANCE is the variance of pairs that the owner is told.
+/// KNOWN_VARIANCE is the variance of pairs that the owner knows from the beginning.
 const KNOWN_VARIANCE: f32 = 0.000_001;
 
-/// Scenario is what is played.
+/// Scenario describes what is simulated.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// The deployment.
     pub deployment: Deployment,
-    /// Its faults and bursts.
+    /// The faults and bursts.
     pub timed_faults: Vec<TimedFault>,
     /// The owner's options.
     pub options: Options,
     /// Whether the owner knows the pairs from the beginning.
     pub known_pairs: bool,
-    /// How workers list their ends.
+    /// How workers list their ended runs.
     pub listing: Listing,
 }
 
-/// ScheduledEvent is something that will happen.
+/// ScheduledEvent is an entry of the simulation's schedule.
 #[derive(Clone, Debug)]
 enum ScheduledEvent {
-    /// The owner's tick.
+    /// The owner's periodic tick.
     Tick,
-    /// What serves is looked at.
+    /// The serving tasks are sampled.
     Sample,
-    /// Serving jobs earn what they did.
+    /// Serving jobs are credited the value that they earned.
     CreditServing,
-    /// A job of a kind, by its place, arrives, and the next one is drawn.
+    /// A job of the kind with this index arrives, and the next arrival is scheduled.
     Arrive(usize),
-    /// A client account sends a job, again perhaps.
+    /// A client account submits a job, for the first time or again.
     Send(u64),
     /// A client account cancels a job.
     Cancel(u64),
     /// A call reaches its worker.
     Deliver(Box<Effect>),
-    /// A start reaches its worker long after it was given up.
+    /// A start order reaches its worker after the call has timed out.
     DeliverLate(Box<Effect>),
-    /// A hold that waited is answered.
+    /// A lease renewal that waited since this time is answered.
     Answer(Box<stackpier_cell::Renewal>, u64),
     /// An event reaches the owner.
     Event(Box<Event>),
-    /// A question to the store was not answered.
+    /// A confirmation of the ownership by the store has timed out.
     ConfirmFailed,
 }
 
-/// Simulation is a day while it is played.
+/// Simulation holds the state of a scenario while it is simulated.
 pub struct Simulation {
     now_ms: u64,
     random: ChaCha8Rng,
@@ -96,7 +96,7 @@
     outcome: Outcome,
 }
 
-/// simulate plays a day.
+/// simulate runs a scenario with a seed and returns its outcome.
 pub fn simulate(scenario: &Scenario, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(scenario.clone(), seed);
     let end = scenario.deployment.length_ms + FINISH_MS;
@@ -176,7 +176,7 @@
         self.schedule(sampling::CREDIT_MS, ScheduledEvent::CreditServing);
     }
 
-    /// known_pairs returns the truth of all pairs as an earlier owner's memory.
+    /// known_pairs returns the real coefficients of all pairs as the model that a predecessor saved.
     fn known_pairs(&self) -> ModelSnapshot {
         let kind_of = |role: Role| {
             self.scenario
@@ -249,7 +249,7 @@
         }
     }
 
-    /// feed_owner gives the owner an event and carries out what it decides.
+    /// feed_owner passes an event to the owner and executes the effects that it returns.
     fn feed_owner(&mut self, event: Event) {
         let event_kind = EventKind::from(&event);
         let began = Instant::now();
@@ -277,7 +277,7 @@
         self.schedule(TICK_MS, ScheduledEvent::Tick);
     }
 
-    /// is_active returns the faults that go on now.
+    /// active_faults returns the faults that are active now.
     fn active_faults(&self) -> impl Iterator<Item = Fault> + '_ {
         let on = |timed_fault: &&TimedFault| timed_fault.is_active(self.now_ms);
         self.scenario
@@ -287,7 +287,7 @@
             .map(|timed_fault| timed_fault.fault)
     }
 
-    /// apply_faults sets how each worker works now.
+    /// apply_faults sets the workers' speeds and faults to the ones active now.
     fn apply_faults(&mut self) {
         let active_faults: Vec<Fault> = self.active_faults().collect();
         let (count, now_ms) = (self.workers.len(), self.now_ms);
@@ -321,7 +321,7 @@
         }
     }
 
-    /// is_cut tells whether a worker is out of the owner's reach.
+    /// is_cut reports whether the owner cannot reach a worker.
     fn is_cut(&self, index: usize) -> bool {
         let count = self.workers.len();
         self.active_faults().any(|fault| match fault {
@@ -330,12 +330,12 @@
         })
     }
 
-    fn store_is_away(&self) -> bool {
+    fn is_store_away(&self) -> bool {
         self.active_faults().any(|fault| fault == Fault::StoreAway)
     }
 }
 
-/// info describes a worker.
+/// info returns the description of a worker.
 fn info(deployment: &Deployment, index: usize) -> Info {
     let rack = format!("r{}", index / deployment.per_rack);
     Info {
--- a/crates/stackpier-load/src/cell/simulation/calls.rs
+++ b/crates/stackpier-load/src/cell/simulation/calls.rs
@@ -13,13 +13,13 @@
     ScheduledEvent, Simulation,
 };
 
-/// FLIGHT_MS is the time of a call to a worker, one way.
-const FLIGHT_MS: u64 = 1;
-/// STORE_MS is the time of a call to the store, there and back.
+/// CALL_MS is the network time of a call to a worker, one way.
+const CALL_MS: u64 = 1;
+/// STORE_MS is the time of a call to the store, including its answer.
 const STORE_MS: u64 = 6;
-/// GIVE_UP_MS is when a call without an answer is given up.
+/// GIVE_UP_MS is the timeout of a call without an answer.
 const GIVE_UP_MS: u64 = 700;
-/// MAX_LATE_MS is how late an order without an answer may be carried out.
+/// MAX_LATE_MS bounds the delay with which a start order without an answer is executed.
 const MAX_LATE_MS: u64 = 3_000;
 
 impl Simulation {
@@ -27,11 +27,11 @@
         match effect {
             Effect::Log(_) | Effect::RequestAdvice(_) | Effect::TakeDown(_) | Effect::Deposed => {}
             Effect::Save(_) => {
-                let saved = !self.store_is_away();
+                let saved = !self.is_store_away();
                 let after = if saved { STORE_MS } else { GIVE_UP_MS };
                 self.schedule(after, ScheduledEvent::Event(Box::new(Event::Saved(saved))));
             }
-            Effect::Confirm if self.store_is_away() => {
+            Effect::Confirm if self.is_store_away() => {
                 self.schedule(GIVE_UP_MS, ScheduledEvent::ConfirmFailed);
             }
             Effect::Confirm => {
@@ -41,11 +41,11 @@
                     ScheduledEvent::Event(Box::new(Event::Confirmed(sent))),
                 );
             }
-            call => self.schedule(FLIGHT_MS, ScheduledEvent::Deliver(Box::new(call))),
+            call => self.schedule(CALL_MS, ScheduledEvent::Deliver(Box::new(call))),
         }
     }
 
-    /// deliver takes a call to its worker.
+    /// deliver executes a call at its worker and schedules the answer.
     pub(super) fn deliver(&mut self, effect: Effect) {
         match effect {
             Effect::Start(start) => self.deliver_start(start),
@@ -74,9 +74,10 @@
         }
     }
 
-    /// answer sends an answer back, or lets the call be given up.
+    /// answer schedules an answer for the owner: after the timeout if the worker is silent, else
+    /// after the network time.
     fn answer(&mut self, silent: bool, event: Event) {
-        let after = if silent { GIVE_UP_MS } else { FLIGHT_MS };
+        let after = if silent { GIVE_UP_MS } else { CALL_MS };
         self.schedule(after, ScheduledEvent::Event(Box::new(event)));
     }
 
@@ -107,7 +108,7 @@
         }
     }
 
-    /// deliver_late carries out an order that was given up.
+    /// deliver_late executes a start order whose call has timed out.
     pub(super) fn deliver_late(&mut self, effect: Effect) {
         if let Effect::Start(start) = effect {
             let index = worker_index(&start.order.address);
@@ -135,7 +136,7 @@
         outcome
     }
 
-    /// has_finished tells whether a run of a task has ended as done.
+    /// has_finished reports whether a run of a task is done.
     fn has_finished(&self, task: TaskName) -> bool {
         let ends = |worker: &Worker| {
             let mut all = worker.ends.iter().chain(&worker.noted);
@@ -144,11 +145,11 @@
         self.workers.iter().any(ends)
     }
 
-    /// deliver_renewal answers a hold at once, or when an end is due, or when its wait is
-    /// over.
+    /// deliver_renewal schedules the answer to a lease renewal: at once if an end is not yet
+    /// acknowledged, otherwise when the next run is due to end or the renewal's wait is over.
     fn deliver_renewal(&mut self, renewal: Renewal) {
         let index = worker_index(&renewal.address);
-        let sent_ms = self.now_ms - FLIGHT_MS;
+        let sent_ms = self.now_ms - CALL_MS;
         if self.is_cut(index) {
             let silent = Event::Renewed {
                 worker: renewal.worker,
@@ -187,12 +188,12 @@
     }
 }
 
-/// is_serving tells whether a run serves.
+/// is_serving reports whether a run is of a serving task.
 pub(super) fn is_serving(run: &Run) -> bool {
     run.behaviour().tail_ms.is_some()
 }
 
 /// index reads a worker's place from its address.
 fn worker_index(address: &str) -> usize {
-    address.parse().expect("addresses are the workers' places")
+    address.parse().expect("addresses are worker indices")
 }
--- a/crates/stackpier-load/src/cell/simulation/clients.rs
+++ b/crates/stackpier-load/src/cell/simulation/clients.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Client accounts: they hand jobs in, come back after a refusal, and cancel.
+//! Client accounts: they submit jobs, retry after a refusal, and cancel.
 
 use rand::RngExt;
 use stackpier_cell::{Event, TaskName};
@@ -11,19 +11,17 @@
     FENCE, START_UNIX_MS, ScheduledEvent, Simulation,
 };
 
-/// PATIENCE_MS is how long a client account tries to hand a job in.
+/// PATIENCE_MS is how long a client account tries to submit a job.
 const PATIENCE_MS: u64 = 3_000;
-/// RETRY_MS is the pause before it comes back.
+/// RETRY_MS is the time between two tries.
 const RETRY_MS: u64 = 1_000;
-/// CANCEL_MS is within which time jobs that are cancelled are.
+/// CANCEL_MS bounds the time from the acceptance of a job to its cancellation.
 const CANCEL_MS: u64 = 1_000;
-/// FIRST_SUBMIT_MS is when the jobs are sent that are there from the beginning: workers have
-/// answered by then.
+/// FIRST_SUBMIT_MS is when the initial jobs are submitted. All workers have answered by then.
 const FIRST_SUBMIT_MS: u64 = 200;
 
 impl Simulation {
-    /// schedule_arrivals sends the jobs that are there from the beginning, and plans the
-    /// first arrival of each kind.
+    /// schedule_arrivals schedules the initial jobs and the first later arrival of each kind.
     pub(super) fn schedule_arrivals(&mut self) {
         for index in 0..self.scenario.deployment.kinds.len() {
             for _ in 0..self.scenario.deployment.kinds[index].at_start {
@@ -35,18 +33,18 @@
         }
     }
 
-    /// gap_ms draws the time until the next job of a kind.
+    /// gap_ms draws the time until the next job of a kind arrives.
     fn gap_ms(&mut self, index: usize) -> u64 {
-        let times: f64 = self
+        let factor: f64 = self
             .active_faults()
             .filter_map(|fault| match fault {
-                Fault::Burst(kind, times) if kind == index => Some(times),
+                Fault::Burst(kind, factor) if kind == index => Some(factor),
                 _ => None,
             })
             .product();
-        let per_s = self.scenario.deployment.kinds[index].per_s * times;
-        let draws = -(1.0 - self.random.random::<f64>()).ln();
-        (draws / per_s * 1_000.0) as u64 + 1
+        let per_s = self.scenario.deployment.kinds[index].per_s * factor;
+        let gap = -(1.0 - self.random.random::<f64>()).ln();
+        (gap / per_s * 1_000.0) as u64 + 1
     }
 
     fn draw(&mut self, index: usize) -> u64 {
@@ -67,31 +65,31 @@
         self.schedule(after, ScheduledEvent::Arrive(index));
     }
 
-    /// submit sends a job. Without the store it is refused, and comes back for as long
-    /// as its client account has patience.
+    /// submit submits a job. While the store is unavailable it is refused, and its client account
+    /// retries for `PATIENCE_MS`.
     pub(super) fn submit(&mut self, number: u64) {
-        let away = self.store_is_away();
+        let away = self.is_store_away();
         let (now_ms, now) = (self.now_ms, self.now());
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        let by_kind = self.outcome.kinds.entry(job.kind.name).or_default();
+        let kind_outcome = self.outcome.kinds.entry(job.kind.name).or_default();
         if away {
             if now_ms + RETRY_MS <= job.sent_ms + PATIENCE_MS {
                 self.schedule(RETRY_MS, ScheduledEvent::Send(number));
                 return;
             }
-            by_kind.jobs += 1;
-            by_kind.refused += 1;
-            by_kind.achievable += job.kind.value;
+            kind_outcome.jobs += 1;
+            kind_outcome.refused += 1;
+            kind_outcome.achievable += job.kind.value;
             job.over = true;
             return;
         }
         job.accepted = true;
-        by_kind.jobs += 1;
+        kind_outcome.jobs += 1;
         let is_serving = job.kind.role == Role::Serving;
         if !is_serving {
-            by_kind.achievable += job.kind.value;
+            kind_outcome.achievable += job.kind.value;
         }
         let record = Record {
             queue: job.kind.queue(),
@@ -110,8 +108,8 @@
         self.schedule_cancel(number, stay_ms);
     }
 
-    /// schedule_cancel plans the end of a job that lasts, and of one whose client account
-    /// changes its mind.
+    /// schedule_cancel schedules the cancellation of a serving job at the end of its stay, and of a
+    /// share of the other jobs while `Fault::Cancels` is active.
     fn schedule_cancel(&mut self, number: u64, stay_ms: Option<u64>) {
         let share: f64 = self
             .active_faults()
@@ -135,34 +133,34 @@
         {
             job.over = true;
             if job.kind.role != Role::Serving {
-                // Nothing is owed for a job that was cancelled.
-                let by_kind = self.outcome.kinds.entry(job.kind.name).or_default();
-                by_kind.achievable -= job.kind.value;
+                // A cancelled job does not count towards the achievable value.
+                let kind_outcome = self.outcome.kinds.entry(job.kind.name).or_default();
+                kind_outcome.achievable -= job.kind.value;
             }
             self.feed_owner(Event::Cancelled(key::Job(number)));
         }
     }
 
-    /// record_first_start notes the first starts of a job.
+    /// record_first_start records when the tasks of a job's first step first started.
     pub(super) fn record_first_start(&mut self, task: TaskName) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&task.job.0) else {
             return;
         };
-        let by_kind = self.outcome.kinds.entry(job.kind.name).or_default();
+        let kind_outcome = self.outcome.kinds.entry(job.kind.name).or_default();
         let first_start_ms = *job.first_start_ms.get_or_insert(now_ms);
         if task.step > 0 || std::mem::replace(&mut job.started[task.index as usize], true) {
             return;
         }
         if job.started.iter().filter(|started| **started).count() == 1 {
-            by_kind.first_start_ms.push(now_ms - job.sent_ms);
+            kind_outcome.first_start_ms.push(now_ms - job.sent_ms);
         }
         if job.started.iter().all(|started| *started) {
-            by_kind.spread_ms.push(now_ms - first_start_ms);
+            kind_outcome.spread_ms.push(now_ms - first_start_ms);
         }
     }
 
-    /// record_finished_jobs pays for the jobs that have ended.
+    /// record_finished_jobs credits the value of jobs that have completed since the last call.
     pub(super) fn record_finished_jobs(&mut self) {
         let now_ms = self.now_ms;
         for (number, job) in &mut self.jobs {
@@ -174,15 +172,15 @@
                 continue;
             }
             job.over = true;
-            let by_kind = self.outcome.kinds.entry(job.kind.name).or_default();
+            let kind_outcome = self.outcome.kinds.entry(job.kind.name).or_default();
             if state != Some(State::Completed) {
                 continue;
             }
             let took_ms = now_ms - job.sent_ms;
             let earned = job.value_after(took_ms);
-            by_kind.earned += earned;
-            by_kind.in_time += u64::from(earned == job.kind.value);
-            by_kind.late += u64::from(earned == job.kind.late_value);
+            kind_outcome.earned += earned;
+            kind_outcome.in_time += u64::from(earned == job.kind.value);
+            kind_outcome.late += u64::from(earned == job.kind.late_value);
         }
     }
 }
--- a/crates/stackpier-load/src/cell/simulation/sampling.rs
+++ b/crates/stackpier-load/src/cell/simulation/sampling.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What serves: tails, what is earned, and what was harmed.
+//! Sampling of serving tasks: their tail latency, the value that they earn and the harm that they
+//! suffer.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +12,25 @@
     calls::is_serving,
 };
 
-/// SAMPLE_MS is the time between two looks at what serves.
+/// SAMPLE_MS is the time between two samples of the serving tasks.
 pub(super) const SAMPLE_MS: u64 = 250;
-/// CREDIT_MS is the time after which serving jobs earn.
+/// CREDIT_MS is the time between two credits of the value that serving jobs earned.
 pub(super) const CREDIT_MS: u64 = 2_000;
-/// CORE is the number of thousandths in a core.
-const CORE: f64 = 1_000.0;
-/// PERCENT is the number of hundredths in a whole.
+/// MILLI_PER_CORE is the number of milli-cores in a core.
+const MILLI_PER_CORE: f64 = 1_000.0;
+/// PERCENT is the pace of a run that may use all of its processors.
 const PERCENT: f64 = 100.0;
-/// SECOND is the number of milliseconds in a second.
-const SECOND: f64 = 1_000.0;
+/// MS_PER_SECOND is the number of milliseconds in a second.
+const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Load is the load of a serving run.
+/// Load is the load of a serving run: its own, and the one that best-effort runs on its worker add.
 struct Load {
     own: f64,
     added_load: f64,
 }
 
 impl Simulation {
-    /// set_tails sets the tails that the serving runs on a worker report now.
+    /// set_tails sets the tail latencies that the serving runs on a worker report from now on.
     pub(super) fn set_tails(&mut self, index: usize) {
         let loads = self.loads(index);
         let serving = self.ground_truth.serving;
@@ -40,7 +41,7 @@
         }
     }
 
-    /// loads returns the load of each run on a worker that serves.
+    /// loads returns, for each run on a worker, its load if it is a serving run.
     fn loads(&self, index: usize) -> Vec<Option<Load>> {
         let runs = &self.workers[index].runs;
         let image = |run: &Run| {
@@ -49,8 +50,9 @@
         };
         let mut cores: BTreeMap<usize, f64> = BTreeMap::new();
         for run in runs.iter().filter(|run| run.behaviour().fills_milli > 0) {
-            let used =
-                f64::from(run.behaviour().fills_milli) / CORE * f64::from(run.pace) / PERCENT;
+            let used = f64::from(run.behaviour().fills_milli) / MILLI_PER_CORE
+                * f64::from(run.pace)
+                / PERCENT;
             *cores.entry(image(run)).or_default() += used;
         }
         let load = |run: &Run| {
@@ -62,15 +64,15 @@
         runs.iter().map(load).collect()
     }
 
-    /// phase returns the phase of the swing of a serving run's load.
+    /// phase returns the phase of the oscillation of a serving run's load.
     fn phase(&self, run: &Run) -> f64 {
         self.jobs[&run.task.job.0].drawn.phase
     }
 
-    /// sample looks at all that serves.
+    /// sample adds the present state of all serving tasks to the tallies of their jobs.
     pub(super) fn sample(&mut self) {
         let limit = self.ground_truth.serving.load_at_target();
-        let seconds = SAMPLE_MS as f64 / SECOND;
+        let seconds = SAMPLE_MS as f64 / MS_PER_SECOND;
         for index in 0..self.workers.len() {
             self.workers[index].advance(self.now_ms);
             let loads = self.loads(index);
@@ -97,23 +99,23 @@
         self.schedule(SAMPLE_MS, ScheduledEvent::Sample);
     }
 
-    /// credit_serving_jobs lets serving jobs earn what they did since they last were paid.
+    /// credit_serving_jobs credits the value that serving jobs earned since the last credit.
     pub(super) fn credit_serving_jobs(&mut self) {
         for job in self.jobs.values_mut() {
             let tally = std::mem::take(&mut job.tally);
             if tally.expected == 0 || self.now_ms > self.scenario.deployment.length_ms {
                 continue;
             }
-            let by_kind = self.outcome.kinds.entry(job.kind.name).or_default();
-            by_kind.achievable += job.kind.value;
-            by_kind.earned += job.kind.value * tally.share();
+            let kind_outcome = self.outcome.kinds.entry(job.kind.name).or_default();
+            kind_outcome.achievable += job.kind.value;
+            kind_outcome.earned += job.kind.value * tally.goodput();
             let away = tally.expected.saturating_sub(tally.running);
-            self.outcome.away_s += f64::from(away) * SAMPLE_MS as f64 / SECOND;
+            self.outcome.not_running_s += f64::from(away) * SAMPLE_MS as f64 / MS_PER_SECOND;
         }
         self.schedule(CREDIT_MS, ScheduledEvent::CreditServing);
     }
 
-    /// into_outcome returns what came of the day.
+    /// into_outcome ends the simulation and returns its outcome.
     pub(super) fn into_outcome(self) -> Outcome {
         self.outcome
     }
--- a/crates/stackpier-load/src/cell/timing.rs
+++ b/crates/stackpier-load/src/cell/timing.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! How long the owner's decisions take, by the size of its cell and by what it is told.
+//! How long the owner's decisions take, by the size of its cell and the kind of event.
 
 use std::time::Duration;
 
@@ -13,20 +13,22 @@
 };
 use crate::table;
 
-/// SIZES are the numbers of workers. The largest is ten times what users plan for.
+/// SIZES are the numbers of workers. The largest is ten times what operators plan for.
 const SIZES: [usize; 3] = [500, 2_000, 16_000];
-/// LENGTH_MS is how long each size is played.
+/// LENGTH_MS is how long jobs arrive at each size.
 const LENGTH_MS: u64 = 3_000;
-/// SHORT_WAITING is how many short jobs come at once, so that a hundred tasks or more
-/// wait for the room that serving tasks hold.
+/// SHORT_WAITING is how many more short jobs arrive at the beginning, so that a hundred tasks or
+/// more wait for capacity that serving tasks occupy.
 const SHORT_WAITING: u32 = 30;
-/// BEST_EFFORT_WAITING is the same for filling jobs, on workers that are all disturbed.
+/// BEST_EFFORT_WAITING is the same for best-effort jobs, at a time when they would disturb the
+/// serving tasks of every worker.
 const BEST_EFFORT_WAITING: u32 = 30;
 
-/// Row is one kind of event at one size.
+/// Row holds the times of the decisions on one kind of event at one size.
 #[derive(Serialize)]
 struct Row {
     workers: usize,
+    #[serde(rename = "told")]
     event_kind: EventKind,
     events: usize,
     mean_us: f64,
@@ -34,7 +36,7 @@
     most_us: f64,
 }
 
-/// run prints the times of all sizes.
+/// run simulates all sizes and prints the times.
 pub fn run(seed: u64, json: bool) -> Result<()> {
     let mut rows = Vec::new();
     for workers in SIZES {
@@ -46,8 +48,8 @@
     table::print(&format!("decisions, seed {seed}"), &rows, json)
 }
 
-/// scenario returns a cell of some workers as full as on the heaviest days: rates grow with
-/// its size, and what waits from the beginning does not.
+/// scenario returns a scenario with a number of workers that are as full as in the heaviest ones.
+/// Arrival rates grow with the number of workers, the jobs waiting from the beginning do not.
 pub fn scenario(workers: usize) -> Scenario {
     let mut deployment = deployment();
     let times = workers as f64 / deployment.workers as f64;
