--- a/crates/stackpier-load/src/cell/ground_truth.rs
+++ b/crates/stackpier-load/src/cell/ground_truth.rs
@@ -92,8 +92,8 @@
         self.coefficients[serving][best_effort]
     }
 
-    /// own_load returns the load of a serving task without best-effort tasks on its worker. The tasks
-    /// of a step oscillate together, with the phase of their job.
+    /// own_load returns the load of a serving task without best-effort tasks on its worker. The
+    /// loads of the tasks of a job oscillate in phase.
     pub fn own_load(&self, phase: f64, now_ms: u64) -> f64 {
         let Serving {
             load,
@@ -105,8 +105,8 @@
         load * (1.0 + swing * angle.sin())
     }
 
-    /// added_load returns the load that best-effort images add to a serving image. `cores` holds the
-    /// cores that each uses.
+    /// added_load returns the load that best-effort images add to a serving image. `cores` holds
+    /// the cores that each uses.
     pub fn added_load(&self, serving: usize, cores: &BTreeMap<usize, f64>) -> f64 {
         let load_of =
             |(best_effort, cores): (&usize, &f64)| self.coefficient(serving, *best_effort) * cores;
--- a/crates/stackpier-load/src/cell/job.rs
+++ b/crates/stackpier-load/src/cell/job.rs
@@ -17,7 +17,7 @@
     /// Whether it was accepted.
     pub accepted: bool,
     /// Whether it is completed, failed, cancelled or given up by its client account.
-    pub over: bool,
+    pub ended: bool,
     /// When its first task started, in milliseconds.
     pub first_start_ms: Option<u64>,
     /// Which tasks of the first step have started, by index.
@@ -34,7 +34,7 @@
     /// Tasks that were running.
     pub running: u32,
     /// Tasks over their latency target.
-    pub over: u32,
+    pub over_target: u32,
     /// Of these, tasks that would meet the target without the best-effort tasks on their worker.
     pub harmed: u32,
 }
@@ -49,7 +49,7 @@
         if self.expected == 0 {
             return 1.0;
         }
-        let over = f64::from(self.over - self.harmed) + HARM_FACTOR * f64::from(self.harmed);
+        let over = f64::from(self.over_target - self.harmed) + HARM_FACTOR * f64::from(self.harmed);
         ((f64::from(self.running) - over) / f64::from(self.expected)).max(0.0)
     }
 }
@@ -63,7 +63,7 @@
             drawn,
             sent_ms: now_ms,
             accepted: false,
-            over: false,
+            ended: false,
             first_start_ms: None,
             started: vec![false; width],
             tally: ServingTally::default(),
--- a/crates/stackpier-load/src/cell/pattern.rs
+++ b/crates/stackpier-load/src/cell/pattern.rs
@@ -22,16 +22,16 @@
 pub const SERVING: &str = "route-watch";
 /// BEST_EFFORT_INDEX is the index of the best-effort kind in the deployment's kinds.
 const BEST_EFFORT_INDEX: usize = 1;
-/// USUAL describes the pairs of most scenarios. A good half of the pairs disturb each other, but
+/// USUAL_PAIRS describes the pairs of most scenarios. A good half of the pairs disturb each other, but
 /// with few of them does the start of seven cores raise a load of 0.45 over its limit.
-const USUAL: Pairs = Pairs {
+const USUAL_PAIRS: Pairs = Pairs {
     heavy_share: 0.25,
     heavy_range: (0.03, 0.06),
     light_range: (0.001, 0.008),
 };
-/// HARD describes the pairs of scenarios in which most images disturb each other. In such a
+/// HEAVY_PAIRS describes the pairs of scenarios in which most images disturb each other. In such a
 /// scenario the owner learnt coefficients of 0.03 to 0.09 for six pairs of ten.
-const HARD: Pairs = Pairs {
+const HEAVY_PAIRS: Pairs = Pairs {
     heavy_share: 0.75,
     heavy_range: (0.03, 0.09),
     light_range: (0.001, 0.008),
@@ -110,7 +110,7 @@
                 failure_share: 0.03,
             },
         ],
-        pairs: USUAL,
+        pairs: USUAL_PAIRS,
         serving: Serving {
             tail_ms: 10.0,
             target_factor: 5.0,
@@ -167,7 +167,7 @@
     pub fn scenario(self) -> Scenario {
         let mut deployment = deployment();
         if self == Pattern::HeavyPairs {
-            deployment.pairs = HARD;
+            deployment.pairs = HEAVY_PAIRS;
         }
         Scenario {
             deployment,
--- a/crates/stackpier-load/src/cell/scenarios.rs
+++ b/crates/stackpier-load/src/cell/scenarios.rs
@@ -15,7 +15,8 @@
 /// SEEDS is the number of seeds that each scenario is simulated with.
 const SEEDS: u64 = 4;
 
-/// Row holds the outcome of one scenario. Figures are means over its seeds unless said otherwise.
+/// Row holds the outcome of one scenario over its seeds: percentiles over the jobs of all seeds,
+/// the longest idle time of any seed, the sum of the refused jobs, and means of the other figures.
 #[derive(Serialize)]
 struct Row {
     #[serde(rename = "day")]
--- a/crates/stackpier-load/src/cell/simulation.rs
+++ b/crates/stackpier-load/src/cell/simulation.rs
@@ -156,8 +156,8 @@
 
     fn start(&mut self) {
         if self.scenario.known_pairs {
-            let memory = self.known_pairs();
-            self.cell.restore_model(&memory);
+            let snapshot = self.known_pairs();
+            self.cell.restore_model(&snapshot);
         }
         let queues = self
             .scenario
@@ -176,7 +176,8 @@
         self.schedule(sampling::CREDIT_MS, ScheduledEvent::CreditServing);
     }
 
-    /// known_pairs returns the real coefficients of all pairs as the model that a predecessor saved.
+    /// known_pairs returns the real coefficients of all pairs, in the form of a model that a
+    /// predecessor saved.
     fn known_pairs(&self) -> ModelSnapshot {
         let kind_of = |role: Role| {
             self.scenario
@@ -279,11 +280,11 @@
 
     /// active_faults returns the faults that are active now.
     fn active_faults(&self) -> impl Iterator<Item = Fault> + '_ {
-        let on = |timed_fault: &&TimedFault| timed_fault.is_active(self.now_ms);
+        let is_active = |timed_fault: &&TimedFault| timed_fault.is_active(self.now_ms);
         self.scenario
             .timed_faults
             .iter()
-            .filter(on)
+            .filter(is_active)
             .map(|timed_fault| timed_fault.fault)
     }
 
@@ -335,7 +336,7 @@
     }
 }
 
-/// info returns the description of a worker.
+/// info returns the description of a worker, by its index.
 fn info(deployment: &Deployment, index: usize) -> Info {
     let rack = format!("r{}", index / deployment.per_rack);
     Info {
--- a/crates/stackpier-load/src/cell/simulation/calls.rs
+++ b/crates/stackpier-load/src/cell/simulation/calls.rs
@@ -193,7 +193,7 @@
     run.behaviour().tail_ms.is_some()
 }
 
-/// index reads a worker's place from its address.
+/// worker_index returns a worker's index, which is its address in the simulation.
 fn worker_index(address: &str) -> usize {
     address.parse().expect("addresses are worker indices")
 }
--- a/crates/stackpier-load/src/cell/simulation/clients.rs
+++ b/crates/stackpier-load/src/cell/simulation/clients.rs
@@ -65,8 +65,8 @@
         self.schedule(after, ScheduledEvent::Arrive(index));
     }
 
-    /// submit submits a job. While the store is unavailable it is refused, and its client account
-    /// retries for `PATIENCE_MS`.
+    /// submit sends a job to the owner. While the store is unavailable the job is refused, and its
+    /// client account retries for `PATIENCE_MS`.
     pub(super) fn submit(&mut self, number: u64) {
         let away = self.is_store_away();
         let (now_ms, now) = (self.now_ms, self.now());
@@ -82,7 +82,7 @@
             kind_outcome.jobs += 1;
             kind_outcome.refused += 1;
             kind_outcome.achievable += job.kind.value;
-            job.over = true;
+            job.ended = true;
             return;
         }
         job.accepted = true;
@@ -118,10 +118,10 @@
                 _ => None,
             })
             .sum();
-        let changes = self.random.random_bool(share.min(1.0));
+        let cancels = self.random.random_bool(share.min(1.0));
         let after = match stay_ms {
             Some(stay_ms) => stay_ms,
-            None if changes => self.random.random_range(1..CANCEL_MS),
+            None if cancels => self.random.random_range(1..CANCEL_MS),
             None => return,
         };
         self.schedule(after, ScheduledEvent::Cancel(number));
@@ -129,9 +129,9 @@
 
     pub(super) fn cancel(&mut self, number: u64) {
         if let Some(job) = self.jobs.get_mut(&number)
-            && !job.over
+            && !job.ended
         {
-            job.over = true;
+            job.ended = true;
             if job.kind.role != Role::Serving {
                 // A cancelled job does not count towards the achievable value.
                 let kind_outcome = self.outcome.kinds.entry(job.kind.name).or_default();
@@ -164,14 +164,14 @@
     pub(super) fn record_finished_jobs(&mut self) {
         let now_ms = self.now_ms;
         for (number, job) in &mut self.jobs {
-            if !job.accepted || job.over || job.kind.role == Role::Serving {
+            if !job.accepted || job.ended || job.kind.role == Role::Serving {
                 continue;
             }
             let state = self.cell.state(key::Job(*number));
             if !state.is_some_and(State::is_final) {
                 continue;
             }
-            job.over = true;
+            job.ended = true;
             let kind_outcome = self.outcome.kinds.entry(job.kind.name).or_default();
             if state != Some(State::Completed) {
                 continue;
--- a/crates/stackpier-load/src/cell/simulation/sampling.rs
+++ b/crates/stackpier-load/src/cell/simulation/sampling.rs
@@ -26,7 +26,7 @@
 /// Load is the load of a serving run: its own, and the one that best-effort runs on its worker add.
 struct Load {
     own: f64,
-    added_load: f64,
+    added: f64,
 }
 
 impl Simulation {
@@ -35,8 +35,8 @@
         let loads = self.loads(index);
         let serving = self.ground_truth.serving;
         for (run, load) in self.workers[index].runs.iter_mut().zip(loads) {
-            if let Some(Load { own, added_load }) = load {
-                run.set_tail(serving.tail_at(own + added_load));
+            if let Some(Load { own, added }) = load {
+                run.set_tail(serving.tail_at(own + added));
             }
         }
     }
@@ -58,7 +58,7 @@
         let load = |run: &Run| {
             is_serving(run).then(|| Load {
                 own: self.ground_truth.own_load(self.phase(run), self.now_ms),
-                added_load: self.ground_truth.added_load(image(run), &cores),
+                added: self.ground_truth.added_load(image(run), &cores),
             })
         };
         runs.iter().map(load).collect()
@@ -78,21 +78,20 @@
             let loads = self.loads(index);
             let runs = self.workers[index].runs.iter().map(|run| run.task);
             for (task, load) in runs.collect::<Vec<_>>().into_iter().zip(loads) {
-                let (Some(Load { own, added_load }), Some(job)) =
-                    (load, self.jobs.get_mut(&task.job.0))
+                let (Some(Load { own, added }), Some(job)) = (load, self.jobs.get_mut(&task.job.0))
                 else {
                     continue;
                 };
-                let over = own + added_load > limit;
+                let over = own + added > limit;
                 let harmed = over && own <= limit;
                 job.tally.running += 1;
-                job.tally.over += u32::from(over);
+                job.tally.over_target += u32::from(over);
                 job.tally.harmed += u32::from(harmed);
                 self.outcome.harmed_s += if harmed { seconds } else { 0.0 };
             }
         }
         for job in self.jobs.values_mut() {
-            if job.accepted && !job.over && job.kind.role == Role::Serving {
+            if job.accepted && !job.ended && job.kind.role == Role::Serving {
                 job.tally.expected += job.drawn.spec.width();
             }
         }
--- a/crates/stackpier-load/tests/listing.rs
+++ b/crates/stackpier-load/tests/listing.rs
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Days on which workers list their ends in another way than by number: no task is done
-//! twice, and what is earned does not depend on it.
+//! Workers may list their ended runs in any order. A listing that is not ordered by number must
+//! not make the owner start a finished task again.
 
 use stackpier_load::cell::{pattern::Pattern, simulation::simulate};
 use stackpier_standin::fleet::listing::{Listing, Order};
 
-/// SEED is the seed of these days.
+/// SEED is the seed of the simulations.
 const SEED: u64 = 1;
-/// LENGTH_MS is how long they are: some 2,500 tasks.
+/// LENGTH_MS is how long jobs arrive: some 2,500 tasks.
 const LENGTH_MS: u64 = 12_000;
 
-/// repeats returns how many tasks that were done were started again on a day.
+/// repeats returns how often a finished task was started again.
 fn repeats(pattern: Pattern, listing: Listing) -> u64 {
     let mut scenario = pattern.scenario();
     scenario.deployment.length_ms = LENGTH_MS;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn no_task_is_done_twice_in_whatever_order_ends_are_listed() {
+fn no_task_is_repeated_in_any_order_of_listed_ends() {
     let patterns = [Pattern::Calm, Pattern::CutWhenFull, Pattern::StoreAway];
     let orders = [Order::Numbered, Order::NewestFirst, Order::Drawn(SEED)];
     let scenario = |pattern| orders.map(|order| repeats(pattern, Listing::in_order(order)));
--- a/crates/stackpier-load/tests/model.rs
+++ b/crates/stackpier-load/tests/model.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The model of a cell's workers itself: the same seed gives the same day, and what it
-//! reports is of the faults that it plays.
+//! Tests of the simulation itself: it is deterministic for a seed, and its outcome shows the
+//! effects of the simulated faults.
 
 use rstest::rstest;
 use stackpier_load::cell::{
@@ -10,18 +10,18 @@
     simulation::{Scenario, simulate},
 };
 
-/// SEED is the seed of these days.
+/// SEED is the seed of the simulations.
 const SEED: u64 = 11;
-/// LENGTH_MS is how long they are: a fraction of what is measured.
+/// LENGTH_MS is how long jobs arrive: a fraction of the length that the load tool simulates.
 const LENGTH_MS: u64 = 12_000;
 
-fn short_day(pattern: Pattern) -> Scenario {
+fn short_scenario(pattern: Pattern) -> Scenario {
     let mut scenario = pattern.scenario();
     scenario.deployment.length_ms = LENGTH_MS;
     scenario
 }
 
-/// figures returns what must be alike in two plays.
+/// figures returns the counts that must be equal in two simulations with the same seed.
 fn figures(outcome: &Outcome) -> Vec<u64> {
     let kinds = [SHORT, BEST_EFFORT, SERVING].map(|kind| outcome.of(kind));
     let jobs = kinds
@@ -36,8 +36,8 @@
 }
 
 #[rstest]
-fn the_same_seed_gives_the_same_day() {
-    let scenario = short_day(Pattern::BadWorkers);
+fn the_same_seed_gives_the_same_outcome() {
+    let scenario = short_scenario(Pattern::BadWorkers);
     assert_eq!(
         figures(&simulate(&scenario, SEED)),
         figures(&simulate(&scenario, SEED))
@@ -45,8 +45,8 @@
 }
 
 #[rstest]
-fn another_seed_gives_another_day() {
-    let scenario = short_day(Pattern::Calm);
+fn another_seed_gives_another_outcome() {
+    let scenario = short_scenario(Pattern::Calm);
     assert_ne!(
         figures(&simulate(&scenario, SEED)),
         figures(&simulate(&scenario, SEED + 1))
@@ -55,9 +55,9 @@
 
 #[rstest]
 fn jobs_are_refused_only_while_the_store_is_away() {
-    let calm = simulate(&short_day(Pattern::Calm), SEED);
+    let calm = simulate(&short_scenario(Pattern::Calm), SEED);
     assert_eq!(calm.of(BEST_EFFORT).refused, 0);
-    let mut scenario = short_day(Pattern::StoreAway);
+    let mut scenario = short_scenario(Pattern::StoreAway);
     for timed_fault in &mut scenario.timed_faults {
         timed_fault.at_ms = 4_000;
         if timed_fault.fault == Fault::StoreAway {
@@ -69,8 +69,8 @@
 }
 
 #[rstest]
-fn pairs_that_are_known_harm_less() {
-    let learnt = short_day(Pattern::HeavyPairs);
+fn known_pairs_reduce_harm() {
+    let learnt = short_scenario(Pattern::HeavyPairs);
     let known = Scenario {
         known_pairs: true,
         ..learnt.clone()
--- a/crates/stackpier-load/tests/patterns.rs
+++ b/crates/stackpier-load/tests/patterns.rs
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The heavy days by name: who waits, who is refused, and where work goes. The floors of
-//! what short jobs earn lie 0.05 to 0.07 below the mean of seeds 1 to 4. The others, which
-//! hold for each of these seeds, are what a customer's sheet sets for its worst kind of job
-//! on such days, 0.15 to 0.34 of what is owed, and more; they catch a kind that starves.
+//! The heavy scenarios: which jobs wait, which are refused, and where tasks are placed. The floors
+//! of the short jobs' goodput hold for the mean of seeds 1 to 4 and lie 0.05 to 0.07 below it. The
+//! other floors hold for each seed. They are at least the goodput that the specification of the
+//! simulated deployment requires of its worst kind of job in such scenarios, 0.15 to 0.34; they
+//! detect a kind of job that starves.
 
 use rstest::rstest;
 use stackpier_cell::Mechanism;
@@ -12,13 +13,13 @@
     simulation::simulate,
 };
 
-/// SEEDS are the seeds of these days.
+/// SEEDS are the seeds of the simulations.
 const SEEDS: [u64; 4] = [1, 2, 3, 4];
-/// LENGTH_MS is how long they are: past the faults of each.
+/// LENGTH_MS is how long jobs arrive: beyond the end of all faults.
 const LENGTH_MS: u64 = 24_000;
-/// SERVING_FLOOR is the least that serving tasks earn: harm counts four times there.
+/// SERVING_FLOOR is the minimum goodput of serving jobs, in which harm counts four times.
 const SERVING_FLOOR: f64 = 0.7;
-/// WAIT_MS is within which time half of the short jobs have begun on any of the days.
+/// WAIT_MS is the maximum of the short jobs' median time to their first start, in any scenario.
 const WAIT_MS: u64 = 1_000;
 
 #[rstest]
@@ -48,8 +49,11 @@
         let shares = [short.goodput(), best_effort.goodput(), serving.goodput()];
         assert!(shares[1] >= best_effort_floor, "{shares:?}");
         assert!(shares[2] >= SERVING_FLOOR, "{shares:?}");
-        let waits = percentile(&short.first_start_ms, 0.5);
-        assert!(waits <= WAIT_MS, "half of the short jobs wait {waits} ms");
+        let median_wait_ms = percentile(&short.first_start_ms, 0.5);
+        assert!(
+            median_wait_ms <= WAIT_MS,
+            "half of the short jobs wait {median_wait_ms} ms"
+        );
         let refused = short.refused + best_effort.refused + serving.refused;
         assert_eq!(
             refused > 0,
@@ -59,9 +63,9 @@
     }
 }
 
-/// apart returns the share of filling starts that went to workers which serve nothing. No
-/// workers are dedicated to short tasks, as these serve nothing, either.
-fn apart(pattern: Pattern, without: Option<Mechanism>) -> f64 {
+/// share_apart returns the share of best-effort starts that went to workers without serving tasks.
+/// No workers are dedicated to short tasks, since such workers have no serving tasks either.
+fn share_apart(pattern: Pattern, without: Option<Mechanism>) -> f64 {
     let mut scenario = pattern.scenario();
     let without = without.into_iter().chain([Mechanism::Dedicated]);
     scenario.options.without = without.collect();
@@ -70,19 +74,21 @@
     sum(|outcome| outcome.best_effort_starts_apart) / sum(|outcome| outcome.best_effort_starts)
 }
 
-/// Where most pairs disturb, much of the filling work goes to workers that were emptied
-/// for it. Without that it does not: few workers are free of serving tasks by themselves.
+/// If most pairs of images disturb each other, many best-effort tasks start on workers whose
+/// serving tasks were moved away for them. Without evacuation few do, because few workers happen to
+/// have no serving tasks.
 #[rstest]
-fn work_goes_to_emptied_workers_on_heavy_days() {
-    let with = apart(Pattern::HeavyPairs, None);
-    let without = apart(Pattern::HeavyPairs, Some(Mechanism::Spare));
+fn best_effort_tasks_use_evacuated_workers_when_most_pairs_disturb() {
+    let with = share_apart(Pattern::HeavyPairs, None);
+    let without = share_apart(Pattern::HeavyPairs, Some(Mechanism::Spare));
     assert!(with > 3.0 * without, "{with}, and {without} without it");
 }
 
-/// On the calm day no worker is emptied: it goes as if none could be.
+/// If few pairs disturb each other, no worker is evacuated: the outcome is the same as without
+/// evacuation.
 #[rstest]
-fn no_worker_is_emptied_on_calm_days() {
-    let with = apart(Pattern::Calm, None);
-    let without = apart(Pattern::Calm, Some(Mechanism::Spare));
+fn no_worker_is_evacuated_without_interference() {
+    let with = share_apart(Pattern::Calm, None);
+    let without = share_apart(Pattern::Calm, Some(Mechanism::Spare));
     assert_eq!(with, without);
 }
--- a/crates/stackpier-load/tests/steps.rs
+++ b/crates/stackpier-load/tests/steps.rs
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A cell with hundreds of workers and more tasks waiting than have room: its owner goes
-//! on answering. The load is that of a customer's grown deployment, 490 workers with a
-//! twentieth of their room free and a thousand tasks waiting, on which an owner that
-//! rated all workers for all waiting steps in one call fell seconds behind: its calls
-//! timed out in batches, its heartbeats went unanswered, cancelled tasks ran on.
+//! The owner must stay responsive in a cell with hundreds of workers and more waiting tasks than
+//! free capacity. The load is that of a real deployment: 490 workers with a twentieth of their
+//! capacity free and a thousand waiting tasks. There, an owner that rated all workers for all
+//! waiting steps in one call fell seconds behind: its calls timed out in batches, its heartbeats
+//! went unanswered, and cancelled tasks ran on.
 
 use rstest::rstest;
 use stackpier_cell::Options;
@@ -13,21 +13,22 @@
     timing::scenario,
 };
 
-/// SEED is the seed of these days.
+/// SEED is the seed of the simulations.
 const SEED: u64 = 7;
 /// WORKERS is the size of the cell.
 const WORKERS: usize = 490;
-/// CALL_RATINGS bounds one call: what a slice allows for tasks of each sort, and what
-/// the last step of each adds, which is looked at whole. At 50 ns each it is a millisecond.
+/// CALL_RATINGS bounds the ratings of one call: the budgets of guaranteed and of best-effort tasks
+/// for a call, plus the ratings of the last step of each, which is always finished. At 50 ns per
+/// rating it is a millisecond.
 const CALL_RATINGS: u64 = 20_000;
-/// CORES is the processor of the owner's VM in that deployment, in thousandths.
+/// CORES is the processor capacity of the owner's VM in that deployment, in milli-cores.
 const CORES: u32 = 500;
-/// FINISH_MS is how long a day goes on after its traffic.
+/// FINISH_MS is how long a simulation continues after the last arrival.
 const FINISH_MS: u64 = 14_000;
-/// SAVED is what may be done beyond the bound over time, in milliseconds of it.
+/// SAVED_MS allows for ratings that the budget had saved up, in milliseconds of the bound.
 const SAVED_MS: u64 = 300;
 
-fn full_day() -> Scenario {
+fn full_scenario() -> Scenario {
     let mut scenario = scenario(WORKERS);
     scenario.options = Options {
         ratings_per_ms: scenario.options.ratings_per_ms * CORES / 1_000,
@@ -37,26 +38,29 @@
 }
 
 #[rstest]
-fn no_call_of_a_full_cell_rates_workers_for_long() {
-    let outcome = simulate(&full_day(), SEED);
-    let most = outcome.max_ratings;
-    assert!(most <= CALL_RATINGS, "{most} ratings in one call");
+fn ratings_of_one_call_are_bounded_in_a_full_cell() {
+    let outcome = simulate(&full_scenario(), SEED);
+    let max_ratings = outcome.max_ratings;
+    assert!(
+        max_ratings <= CALL_RATINGS,
+        "{max_ratings} ratings in one call"
+    );
 }
 
 #[rstest]
-fn over_time_a_full_cell_rates_no_more_than_its_vm_can_bear() {
-    let scenario = full_day();
+fn ratings_over_time_are_bounded_in_a_full_cell() {
+    let scenario = full_scenario();
     let outcome = simulate(&scenario, SEED);
     let length_ms = scenario.deployment.length_ms + FINISH_MS + SAVED_MS;
     let bound = u64::from(scenario.options.ratings_per_ms) * length_ms;
     assert!(outcome.ratings <= bound, "{} of {bound}", outcome.ratings);
 }
 
-/// What waits for room that there is none of must not hold back the tasks that fill:
-/// with ratings in common these got none for seconds, and most of a day's worth was lost.
+/// Guaranteed tasks that wait for capacity must not delay best-effort tasks. When both shared one
+/// rating budget, best-effort tasks got no ratings for seconds, and most of the goodput was lost.
 #[rstest]
-fn tasks_that_wait_for_room_leave_ratings_for_those_that_fill() {
-    let outcome = simulate(&full_day(), SEED);
+fn waiting_guaranteed_tasks_leave_ratings_for_best_effort_tasks() {
+    let outcome = simulate(&full_scenario(), SEED);
     let (short, best_effort) = (outcome.of(SHORT), outcome.of(BEST_EFFORT));
     assert!(
         short.jobs > 0 && best_effort.goodput() > 0.8,
