--- a/crates/stackpier-transport/src/callers.rs
+++ b/crates/stackpier-transport/src/callers.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The callers' port, on `hyper`: `tiny_http` has no bound on callers that
-//! send slowly or stay idle, and one set on its listening socket ends its
-//! accept loop (see `docs/DESIGN.md`).
+//! The HTTP port for callers, on `hyper`. `tiny_http` has no time-out for
+//! callers that send slowly or stay idle, and a time-out set on its listening
+//! socket ends its accept loop (see `docs/DESIGN.md`).
 
 use std::{convert::Infallible, net::TcpListener, sync::Arc, time::Duration};
 
@@ -21,26 +21,28 @@
 use stackpier_state::ledger::{Header, Reply};
 use tokio::sync::{Semaphore, watch};
 
-/// DRAIN_QUIET is how long no connection may come before the port closes.
-const DRAIN_QUIET: Duration = Duration::from_millis(100);
-/// DRAIN_MOST bounds the time the port is open after it stopped.
-const DRAIN_MOST: Duration = Duration::from_secs(10);
+/// DRAIN_IDLE is the time without a new connection after which a stopped port
+/// closes its listener.
+const DRAIN_IDLE: Duration = Duration::from_millis(100);
+/// MAX_DRAIN bounds the time for which a stopped port still accepts
+/// connections.
+const MAX_DRAIN: Duration = Duration::from_secs(10);
 
-/// Options are the bounds on callers.
+/// Options holds the limits on callers.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Most connections at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Most requests in service at once.
+    /// Maximum number of requests being served at once.
     pub requests: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Largest head of a request, in bytes; at least 8,192.
+    /// Maximum size of a request's head, in bytes; at least 8,192.
     pub head_bytes: usize,
-    /// Longest time for a request's head, an idle connection's included, in
-    /// milliseconds.
+    /// Time-out for a request's head, in milliseconds. It also ends idle
+    /// connections.
     pub head_ms: u64,
-    /// Longest time for a request's body, in milliseconds.
+    /// Time-out for a request's body, in milliseconds.
     pub body_ms: u64,
 }
 
@@ -57,38 +59,39 @@
     }
 }
 
-/// Request is a caller's whole request.
+/// Request is a caller's request, read completely.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Headers, names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Vec<Header>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// header returns the value of a header.
+    /// header returns the first value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|header| header.name == name);
         found.map(|header| header.value.as_str())
     }
 }
 
-/// Service answers requests. It may block.
+/// Service answers callers' requests. It may block: it runs on threads apart
+/// from the connections'.
 pub trait Service: Send + Sync + 'static {
-    /// serve returns the answer, or why there is none.
+    /// serve returns the answer to a request, or why there is none.
     fn serve(&self, request: Request) -> Result<Reply, Error>;
 
-    /// closing tells whether callers should use other connections from now on.
+    /// closing reports whether answers ask callers to close their connections.
     fn closing(&self) -> bool;
 }
 
-/// Gate stops the port: no new connections, and no new request on the ones
-/// that are there.
+/// Gate stops the port. A stopped port accepts no new connections, and no
+/// further requests on open ones.
 #[derive(Clone, Debug)]
 pub struct Gate {
     stop: watch::Sender<bool>,
@@ -109,16 +112,16 @@
     }
 }
 
-/// Shared is what the connections of a port share.
-struct Shared<S> {
+/// Context is the state that all connections of a port share.
+struct Context<S> {
     service: Arc<S>,
     options: Options,
     requests: Arc<Semaphore>,
 }
 
-impl<S> Clone for Shared<S> {
+impl<S> Clone for Context<S> {
     fn clone(&self) -> Self {
-        Shared {
+        Context {
             service: Arc::clone(&self.service),
             options: self.options,
             requests: Arc::clone(&self.requests),
@@ -126,8 +129,8 @@
     }
 }
 
-/// run serves callers until the gate is closed and every request in service
-/// is answered.
+/// run serves callers until the gate is closed and all requests that have
+/// begun are answered.
 pub fn run<S: Service>(
     listener: TcpListener,
     service: Arc<S>,
@@ -140,7 +143,7 @@
         .build()?;
     listener.set_nonblocking(true)?;
     let stop = gate.stop.subscribe();
-    let shared = Shared {
+    let shared = Context {
         service,
         options,
         requests: Arc::new(Semaphore::new(options.requests)),
@@ -150,20 +153,20 @@
 
 async fn accept<S: Service>(
     listener: TcpListener,
-    shared: Shared<S>,
+    shared: Context<S>,
     mut stop: watch::Receiver<bool>,
 ) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    let most = shared.options.connections;
-    let connections = Arc::new(Semaphore::new(most));
-    let stops = stop.clone();
+    let max = shared.options.connections;
+    let connections = Arc::new(Semaphore::new(max));
+    let connection_stop = stop.clone();
     loop {
         let permit = Arc::clone(&connections).acquire_owned().await;
         tokio::select! {
             _ = stop.wait_for(|stop| *stop) => break,
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
-                let connection = connection(stream, shared.clone(), stops.clone());
+                let connection = handle_connection(stream, shared.clone(), connection_stop.clone());
                 tokio::spawn(async move {
                     connection.await;
                     drop(permit);
@@ -173,27 +176,28 @@
     }
     drain(&listener, &shared, &connections).await;
     drop(listener);
-    let _ = connections.acquire_many(most as u32).await;
+    let _ = connections.acquire_many(max as u32).await;
     Ok(())
 }
 
-/// drain serves connections that the kernel accepted before the port stopped:
-/// closing the listener would cut them off without an answer.
+/// drain serves the connections that the kernel accepted before the port
+/// stopped. Closing the listener would reset them without an answer.
 async fn drain<S: Service>(
     listener: &tokio::net::TcpListener,
-    shared: &Shared<S>,
+    shared: &Context<S>,
     connections: &Arc<Semaphore>,
 ) {
-    // They are told to close by their one answer, not by the stop.
-    let (_open, never) = watch::channel(false);
-    let end = tokio::time::Instant::now() + DRAIN_MOST;
+    // These connections must first get an answer to their request, so the stop
+    // doesn't shut them down: the answer's `connection: close` header does.
+    let (_sender, never_stopped) = watch::channel(false);
+    let end = tokio::time::Instant::now() + MAX_DRAIN;
     while tokio::time::Instant::now() < end {
-        let Ok(accepted) = tokio::time::timeout(DRAIN_QUIET, listener.accept()).await else {
+        let Ok(accepted) = tokio::time::timeout(DRAIN_IDLE, listener.accept()).await else {
             return;
         };
         let permit = Arc::clone(connections).try_acquire_owned();
         if let (Ok((stream, _)), Ok(permit)) = (accepted, permit) {
-            let connection = connection(stream, shared.clone(), never.clone());
+            let connection = handle_connection(stream, shared.clone(), never_stopped.clone());
             tokio::spawn(async move {
                 connection.await;
                 drop(permit);
@@ -202,9 +206,9 @@
     }
 }
 
-async fn connection<S: Service>(
+async fn handle_connection<S: Service>(
     stream: tokio::net::TcpStream,
-    shared: Shared<S>,
+    shared: Context<S>,
     mut stop: watch::Receiver<bool>,
 ) {
     let _ = stream.set_nodelay(true);
@@ -228,9 +232,9 @@
 
 async fn respond<S: Service>(
     request: Incoming<IncomingBody>,
-    shared: Shared<S>,
+    shared: Context<S>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let repeats = repeats(request.headers());
+    let repeat = is_repeat(request.headers());
     let answered = match Arc::clone(&shared.requests).try_acquire_owned() {
         Err(_) => Err(Error::new(
             Kind::TooManyCallers,
@@ -242,29 +246,30 @@
             answered
         }
     };
-    let mut reply = answered.unwrap_or_else(|error| failure(honest(error, repeats)));
+    let mut reply = answered.unwrap_or_else(|error| failure(account_for_repeats(error, repeat)));
     if shared.service.closing() {
         reply.headers.push(Header {
             name: "connection".to_owned(),
             value: "close".to_owned(),
         });
     }
-    Ok(response(reply))
+    Ok(build_response(reply))
 }
 
-/// repeats tells whether a request with these headers may have been sent
-/// before.
-fn repeats(headers: &hyper::HeaderMap) -> bool {
+/// is_repeat reports whether a request with these headers may have been sent
+/// before: it has an idempotency key and isn't marked as the first attempt.
+fn is_repeat(headers: &hyper::HeaderMap) -> bool {
     let first = headers
         .get(ATTEMPT_HEADER)
         .is_some_and(|value| value == FIRST_ATTEMPT);
     headers.contains_key(KEY_HEADER) && !first
 }
 
-/// honest keeps an error from saying that a request was not run when only this
-/// attempt at it is known not to have been.
-fn honest(error: Error, repeats: bool) -> Error {
-    match repeats && error.ran.is_none() {
+/// account_for_repeats marks the error of a repeated request as "not known
+/// whether it ran", unless the error states it itself. This attempt did not run,
+/// but an earlier one may have.
+fn account_for_repeats(error: Error, repeat: bool) -> Error {
+    match repeat && error.ran.is_none() {
         true => error.with_ran(Ran::Unknown),
         false => error,
     }
@@ -272,15 +277,15 @@
 
 async fn answer<S: Service>(
     request: Incoming<IncomingBody>,
-    shared: &Shared<S>,
+    shared: &Context<S>,
 ) -> Result<Reply, Error> {
-    let request = whole(request, shared.options).await?;
+    let request = read_request(request, shared.options).await?;
     let service = Arc::clone(&shared.service);
     let served = tokio::task::spawn_blocking(move || service.serve(request)).await;
     served.unwrap_or_else(|_| Err(Error::new(Kind::Internal, "the request's thread ended")))
 }
 
-async fn whole(request: Incoming<IncomingBody>, options: Options) -> Result<Request, Error> {
+async fn read_request(request: Incoming<IncomingBody>, options: Options) -> Result<Request, Error> {
     let (head, body) = request.into_parts();
     let limited = Limited::new(body, options.body_bytes).collect();
     let limit = Duration::from_millis(options.body_ms);
@@ -306,7 +311,7 @@
     })
 }
 
-/// failure builds the answer to a request that got an error.
+/// failure builds the answer for an error.
 pub fn failure(error: Error) -> Reply {
     let answer = error.kind.answer();
     let header = |name: &str, value: String| Header {
@@ -323,15 +328,15 @@
     }
 }
 
-fn response(reply: Reply) -> Response<Full<Bytes>> {
+fn build_response(reply: Reply) -> Response<Full<Bytes>> {
     let mut builder = Response::builder().status(reply.status);
     for header in &reply.headers {
         builder = builder.header(&header.name, &header.value);
     }
     let body = Full::new(Bytes::from(reply.body));
     builder.body(body).unwrap_or_else(|_| {
-        let mut broken = Response::new(Full::new(Bytes::new()));
-        *broken.status_mut() = hyper::StatusCode::BAD_GATEWAY;
-        broken
+        let mut fallback = Response::new(Full::new(Bytes::new()));
+        *fallback.status_mut() = hyper::StatusCode::BAD_GATEWAY;
+        fallback
     })
 }
--- a/crates/stackpier-transport/src/client.rs
+++ b/crates/stackpier-transport/src/client.rs
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-//! HTTP with JSON towards the platform and the workers, by `minreq`.
+//! The HTTP client for the platform and the workers, with JSON bodies, on
+//! `minreq`.
 
-use minreq::{Error as Wire, Method, Response};
+use minreq::{Error as HttpError, Method, Response};
 use serde::{Serialize, de::DeserializeOwned};
 use stackpier_core::{Error, Kind, Result};
 use stackpier_protocol::{
     codec::{from_json, to_json},
-    platform::{Roster as List, Swap, Swapped as Answered, Value},
+    platform::{Roster as List, Swap, Swapped as SwapAnswer, Value},
     sync::{Call, Reply},
 };
 use stackpier_state::{
@@ -17,28 +18,30 @@
 
 use crate::platform::{Request, Roster, Sent, Store, Upstream, Worker};
 
-/// RAN_HEADER is the header by which a worker says that it did not run a
-/// request.
+/// RAN_HEADER is the answer header with which a worker reports, by the value
+/// `no`, that it did not run a request.
 pub const RAN_HEADER: &str = "stackpier-ran";
-/// TASK_HEADER names the run a request is meant for, as `job.index.attempt`.
+/// TASK_HEADER names the run that a request is for, as `job.index.attempt`.
 pub const TASK_HEADER: &str = "stackpier-task";
-/// REFUSED_HEADER is the header by which a worker says why.
+/// REFUSED_HEADER is the answer header with which a worker reports why it did
+/// not run a request.
 pub const REFUSED_HEADER: &str = "stackpier-refused";
-/// BUSY is the value of [`REFUSED_HEADER`] for want of a slot.
+/// BUSY is the value of [`REFUSED_HEADER`] when all slots were in use.
 pub const BUSY: &str = "busy";
 
-/// STORE_TIMEOUT_S bounds a call to the platform, in seconds.
+/// STORE_TIMEOUT_S is the time-out of a call to the platform, in seconds.
 const STORE_TIMEOUT_S: u64 = 2;
-/// SYNC_TIMEOUT_S bounds a call to a worker, in seconds.
+/// SYNC_TIMEOUT_S is the time-out of a worker's `sync` call, in seconds.
 const SYNC_TIMEOUT_S: u64 = 2;
-/// WATCH_MARGIN_S is added to the wait of a watch, in seconds.
+/// WATCH_MARGIN_S is how much longer than its wait a watch may take before it
+/// times out, in seconds.
 const WATCH_MARGIN_S: u64 = 2;
-/// MAX_ANSWER_HEADERS bounds the headers of an answer, in bytes.
+/// MAX_ANSWER_HEADERS is the maximum size of an answer's headers, in bytes.
 const MAX_ANSWER_HEADERS: usize = 64 * 1024;
 
-/// SKIPPED lists headers that are not passed on, as they concern one
-/// connection or are set anew.
-const SKIPPED: [&str; 9] = [
+/// NOT_FORWARDED lists headers that are not forwarded: they apply to one
+/// connection only, or are set again for the next one.
+const NOT_FORWARDED: [&str; 9] = [
     "connection",
     "content-length",
     "host",
@@ -50,14 +53,14 @@
     "upgrade",
 ];
 
-/// Client speaks to one platform and all workers.
+/// Client calls one platform, and any worker by its address.
 #[derive(Clone, Debug)]
 pub struct Client {
     base: String,
 }
 
 impl Client {
-    /// new takes the platform's address as `IP:port`.
+    /// new returns a client of the platform at `IP:port`.
     pub fn new(platform: &str) -> Client {
         Client {
             base: format!("http://{platform}"),
@@ -65,9 +68,10 @@
     }
 }
 
-/// passes tells whether a header goes from end to end.
-pub fn passes(name: &str) -> bool {
-    !SKIPPED.contains(&name) && !name.starts_with("stackpier-")
+/// is_forwarded reports whether a header is end-to-end. Headers that begin with
+/// `stackpier-` are not.
+pub fn is_forwarded(name: &str) -> bool {
+    !NOT_FORWARDED.contains(&name) && !name.starts_with("stackpier-")
 }
 
 fn get<T: DeserializeOwned>(url: String, timeout_s: u64) -> Result<T> {
@@ -82,7 +86,7 @@
     parse(request.send())
 }
 
-fn parse<T: DeserializeOwned>(response: std::result::Result<Response, Wire>) -> Result<T> {
+fn parse<T: DeserializeOwned>(response: std::result::Result<Response, HttpError>) -> Result<T> {
     let unreachable = |error| Error::new(Kind::StoreUnavailable, format!("no answer: {error}"));
     let response = response.map_err(unreachable)?;
     match response.status_code {
@@ -106,7 +110,7 @@
     fn swap(&self, key: Key, expect: Revision, page: &Page) -> Swapped {
         let url = format!("{}/kv/{key}", self.base);
         let page = page.clone();
-        let answered = post::<Swap, Answered>(url, &Swap { expect, page }, STORE_TIMEOUT_S);
+        let answered = post::<Swap, SwapAnswer>(url, &Swap { expect, page }, STORE_TIMEOUT_S);
         match answered {
             Ok(answer) if answer.won => Swapped::Won(answer.revision),
             Ok(_) => Swapped::Lost,
@@ -143,8 +147,11 @@
             "http://{}/run/{}{}",
             upstream.address, upstream.service, request.path
         );
-        let headers = request.headers.iter().filter(|header| passes(&header.name));
-        let sent = minreq::Request::new(method(&request.method), url)
+        let headers = request
+            .headers
+            .iter()
+            .filter(|header| is_forwarded(&header.name));
+        let sent = minreq::Request::new(parse_method(&request.method), url)
             .with_follow_redirects(false)
             .with_max_headers_size(MAX_ANSWER_HEADERS)
             .with_timeout(timeout_ms.div_ceil(1_000).max(1))
@@ -153,22 +160,23 @@
             .with_body(request.body.clone())
             .send();
         match sent {
-            Ok(response) => judge(response, head),
+            Ok(response) => check_answer(response, head),
             Err(error) if never_connected(&error) => Sent::NotRun,
             Err(_) => Sent::Broken,
         }
     }
 }
 
-/// never_connected tells whether an error proves that nothing was sent. Other
-/// errors may come after a part of the request was written.
-fn never_connected(error: &Wire) -> bool {
-    matches!(error, Wire::IoError(io) if io.kind() == std::io::ErrorKind::ConnectionRefused)
+/// never_connected reports whether an error proves that nothing was sent. Any
+/// other error may come after a part of the request was written.
+fn never_connected(error: &HttpError) -> bool {
+    matches!(error, HttpError::IoError(io) if io.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-/// judge checks that an answer is whole: its body has the announced length,
-/// or came in chunks to the last one.
-fn judge(response: Response, head: bool) -> Sent {
+/// check_answer returns the outcome of an answer. It is complete if its body has
+/// the length in `content-length`, is chunked (`minreq` reads up to the last
+/// chunk), or may be absent by its method or status.
+fn check_answer(response: Response, head: bool) -> Sent {
     if response.header(RAN_HEADER) == Some("no") {
         return match response.header(REFUSED_HEADER) {
             Some(BUSY) => Sent::Busy,
@@ -192,12 +200,14 @@
     });
     Sent::Whole(Answer {
         status,
-        headers: headers.filter(|header| passes(&header.name)).collect(),
+        headers: headers
+            .filter(|header| is_forwarded(&header.name))
+            .collect(),
         body: response.into_bytes(),
     })
 }
 
-fn method(name: &str) -> Method {
+fn parse_method(name: &str) -> Method {
     match name {
         "GET" => Method::Get,
         "HEAD" => Method::Head,
--- a/crates/stackpier-transport/src/instruments.rs
+++ b/crates/stackpier-transport/src/instruments.rs
@@ -1,24 +1,25 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A daemon's `opentelemetry` instruments, read as Prometheus text.
+//! A daemon's `opentelemetry` instruments, exported in the Prometheus text
+//! format.
 
 use anyhow::Result;
 use opentelemetry::metrics::{Counter, Histogram, Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// METER is the name under which the instruments are registered.
+/// METER is the name of the meter that creates the instruments.
 const METER: &str = "stackpier";
 
-/// Instruments makes the instruments of one daemon and reads them.
+/// Instruments creates the instruments of one daemon and exports their values.
 pub struct Instruments {
     registry: Registry,
-    /// Keeps the instruments alive.
+    /// Held because dropping the provider would stop the instruments.
     _provider: SdkMeterProvider,
     meter: Meter,
 }
 
 impl Instruments {
-    /// new starts with no instrument.
+    /// new returns a registry without instruments.
     pub fn new() -> Result<Instruments> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -32,13 +33,13 @@
         })
     }
 
-    /// counter makes an instrument that counts up.
+    /// counter creates a counter.
     pub fn counter(&self, name: &'static str) -> Counter<u64> {
         self.meter.u64_counter(name).build()
     }
 
-    /// seconds makes a histogram of times in seconds with the upper bounds of
-    /// its buckets.
+    /// seconds creates a histogram of durations in seconds; `bounds` are the
+    /// upper bounds of its buckets.
     pub fn seconds(&self, name: &'static str, bounds: &[f64]) -> Histogram<f64> {
         self.meter
             .f64_histogram(name)
@@ -46,12 +47,12 @@
             .build()
     }
 
-    /// meter makes instruments of other kinds.
+    /// meter returns the meter, which creates instruments of other kinds.
     pub fn meter(&self) -> &Meter {
         &self.meter
     }
 
-    /// text returns all metrics in the text format of Prometheus.
+    /// text returns all metrics in the Prometheus text format.
     pub fn text(&self) -> Result<Vec<u8>> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/stackpier-transport/src/lib.rs
+++ b/crates/stackpier-transport/src/lib.rs
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The ways in and out of a daemon: callers (`hyper`), operators
-//! (`tiny_http`), other daemons (`h2`), and the platform and workers
-//! (`minreq`) behind small traits; the instruments that operators read, and
-//! the clocks.
+//! The input and output of a daemon: HTTP servers for callers (`hyper`) and
+//! operators (`tiny_http`), messages between daemons (`h2`), HTTP clients for
+//! the platform and workers (`minreq`) behind small traits, metrics, and clocks.
 
 pub mod callers;
 pub mod client;
--- a/crates/stackpier-transport/src/operators.rs
+++ b/crates/stackpier-transport/src/operators.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The operators' port, on `tiny_http`.
+//! The HTTP port for operators, on `tiny_http`.
 
 use std::{io::Read, net::TcpListener, sync::Arc, thread};
 
@@ -9,9 +9,9 @@
 
 use crate::callers::failure;
 
-/// MAX_BODY is the largest body of an operator's request, in bytes.
+/// MAX_BODY is the maximum size of the body of an operator's request, in bytes.
 pub const MAX_BODY: usize = 1024 * 1024;
-/// THREADS is the count of threads that serve operators.
+/// THREADS is the number of threads that serve operators.
 const THREADS: usize = 4;
 
 /// Request is an operator's request.
@@ -25,13 +25,14 @@
     pub body: Vec<u8>,
 }
 
-/// Service answers operators. It may block.
+/// Service answers operators' requests. It may block.
 pub trait Service: Send + Sync + 'static {
-    /// serve returns the answer, or why there is none.
+    /// serve returns the answer to a request, or why there is none.
     fn serve(&self, request: Request) -> Result<Reply, Error>;
 }
 
-/// start serves operators on threads of its own for the life of the process.
+/// start serves operators on threads of its own, which run as long as the
+/// process.
 pub fn start<S: Service>(listener: TcpListener, service: Arc<S>) -> anyhow::Result<()> {
     let server = Server::from_listener(listener, None).map_err(|error| anyhow::anyhow!(error))?;
     let server = Arc::new(server);
@@ -80,6 +81,6 @@
             response.add_header(header);
         }
     }
-    // An operator who has gone away needs no answer.
+    // An error means that the operator has closed the connection.
     let _ = raw.respond(response);
 }
--- a/crates/stackpier-transport/src/peers.rs
+++ b/crates/stackpier-transport/src/peers.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The port and the connections between daemons: `bincode` messages, one
-//! `h2` stream each.
+//! Messages between daemons: encoded with `bincode`, each on an `h2` stream of
+//! its own.
 
 mod receive;
 mod send;
@@ -28,22 +28,24 @@
 
 pub use receive::Port;
 
-/// WINDOW is the flow-control window of a stream and of a connection.
+/// WINDOW is the flow-control window of a stream and of a connection, in bytes.
 const WINDOW: u32 = 4 * 1024 * 1024;
-/// Service answers messages of other daemons. It may block.
+
+/// Service answers messages from other daemons. It may block.
 pub trait Service: Send + Sync + 'static {
-    /// serve returns the answer.
+    /// serve returns the answer to a message.
     fn serve(&self, request: Request) -> Response;
 }
 
-/// Counters count the messages and bytes of this daemon's peer transport.
+/// Counters counts the messages and bytes that this daemon exchanges with other
+/// daemons.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Messages sent as requests.
+    /// Requests sent.
     pub sent: AtomicU64,
     /// Bytes sent in requests and answers.
     pub sent_bytes: AtomicU64,
-    /// Messages received as requests.
+    /// Requests received.
     pub received: AtomicU64,
     /// Bytes received in requests and answers.
     pub received_bytes: AtomicU64,
@@ -68,11 +70,12 @@
 }
 
 impl Peers {
-    /// start serves the peers' port and returns the way to other daemons.
+    /// start listens for other daemons. It returns the sender of messages and
+    /// the port, whose messages wait for [`Port::serve`].
     pub fn start(listener: TcpListener) -> std::io::Result<(Peers, Port)> {
-        let (outbound, sending) = flume::unbounded();
-        let (quick, quick_served) = flume::unbounded();
-        let (slow, slow_served) = flume::unbounded();
+        let (outbound, requests) = flume::unbounded();
+        let (quick, quick_receiver) = flume::unbounded();
+        let (slow, slow_receiver) = flume::unbounded();
         let counters = Arc::new(Counters::default());
         listener.set_nonblocking(true)?;
         let inbox = Inbox {
@@ -88,37 +91,39 @@
             .spawn(move || {
                 runtime.block_on(async {
                     tokio::spawn(accept(listener, inbox.clone()));
-                    send_all(sending, inbox.counters).await;
+                    send_all(requests, inbox.counters).await;
                 });
             })?;
         let port = Port {
-            quick: quick_served,
-            slow: slow_served,
+            quick: quick_receiver,
+            slow: slow_receiver,
         };
         Ok((Peers { outbound, counters }, port))
     }
 
-    /// call sends a message and waits for its answer.
+    /// call sends a message and waits for its answer. `limit` applies as in
+    /// [`Peers::send`].
     pub fn call(
         &self,
         address: SocketAddr,
         request: &Request,
         limit: Duration,
     ) -> Result<Response> {
-        let gone = || Error::new(Kind::Internal, "the peer transport has ended");
+        let ended = || Error::new(Kind::Internal, "the peer transport has ended");
         self.send(address, request, limit)?
             .recv()
-            .map_err(|_| gone())?
+            .map_err(|_| ended())?
     }
 
-    /// send sends a message and returns where its answer will come.
+    /// send sends a message and returns the channel for its answer. `limit` is
+    /// the time-out for connecting, if needed, and again for the exchange.
     pub fn send(
         &self,
         address: SocketAddr,
         request: &Request,
         limit: Duration,
     ) -> Result<Receiver<Result<Response>>> {
-        let gone = || Error::new(Kind::Internal, "the peer transport has ended");
+        let ended = || Error::new(Kind::Internal, "the peer transport has ended");
         let body = Bytes::from(encode(request)?);
         self.counters.sent.fetch_add(1, Ordering::Relaxed);
         self.counters.count_sent(body.len());
@@ -129,11 +134,11 @@
             limit,
             reply,
         };
-        self.outbound.send(outbound).map_err(|_| gone())?;
+        self.outbound.send(outbound).map_err(|_| ended())?;
         Ok(answered)
     }
 
-    /// counters returns the counts of messages and bytes.
+    /// counters returns the counters of messages and bytes.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
--- a/crates/stackpier-transport/src/peers/receive.rs
+++ b/crates/stackpier-transport/src/peers/receive.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The receiving side: the peers' port and the threads that serve messages.
+//! The receiving side: the port for other daemons, and the threads that serve
+//! their messages.
 
 use std::{
     net::TcpListener,
@@ -21,37 +22,39 @@
 use super::{Counters, Service, WINDOW};
 use crate::stream::collect;
 
-/// MAX_STREAMS is the most messages in service on one connection.
+/// MAX_STREAMS is the maximum number of messages being served on a connection.
 const MAX_STREAMS: u32 = 1_024;
-/// QUICK_THREADS is the count of threads for messages that ask nobody else.
+/// QUICK_THREADS is the number of threads for messages that are answered
+/// without calls to other daemons.
 const QUICK_THREADS: usize = 4;
-/// SLOW_THREADS is the count of threads for messages that ask other daemons.
+/// SLOW_THREADS is the number of threads for messages that need calls to other
+/// daemons.
 const SLOW_THREADS: usize = 16;
-/// ACCEPT_PAUSE is the time after which a failed accept is tried again.
+/// ACCEPT_PAUSE is the wait before a failed accept is tried again.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Inbound is a message received, and where its answer goes.
+/// Inbound is a received message and the channel for its answer.
 pub(super) struct Inbound {
     request: Request,
     reply: oneshot::Sender<Response>,
 }
 
-/// Port is the receiving side, which waits for its service.
+/// Port holds received messages until [`Port::serve`] starts to answer them.
 pub struct Port {
     pub(super) quick: Receiver<Inbound>,
     pub(super) slow: Receiver<Inbound>,
 }
 
 impl Port {
-    /// serve answers messages on threads of its own for the life of the
+    /// serve answers messages on threads of its own, which run as long as the
     /// process.
     pub fn serve<S: Service>(self, service: &Arc<S>) -> std::io::Result<()> {
-        spawn("peer-quick", QUICK_THREADS, &self.quick, service)?;
-        spawn("peer-slow", SLOW_THREADS, &self.slow, service)
+        spawn_threads("peer-quick", QUICK_THREADS, &self.quick, service)?;
+        spawn_threads("peer-slow", SLOW_THREADS, &self.slow, service)
     }
 }
 
-fn spawn<S: Service>(
+fn spawn_threads<S: Service>(
     name: &str,
     count: usize,
     inbox: &Receiver<Inbound>,
@@ -70,7 +73,7 @@
     Ok(())
 }
 
-/// Inbox passes messages to the threads that serve them.
+/// Inbox hands messages over to the threads that serve them.
 #[derive(Clone)]
 pub(super) struct Inbox {
     pub(super) quick: Sender<Inbound>,
@@ -78,7 +81,7 @@
     pub(super) counters: Arc<Counters>,
 }
 
-/// accept serves connections for the life of the process.
+/// accept accepts and serves connections as long as the process runs.
 pub(super) async fn accept(listener: TcpListener, inbox: Inbox) {
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
         return;
@@ -88,11 +91,11 @@
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        tokio::spawn(connection(stream, inbox.clone()));
+        tokio::spawn(handle_connection(stream, inbox.clone()));
     }
 }
 
-async fn connection(stream: TcpStream, inbox: Inbox) {
+async fn handle_connection(stream: TcpStream, inbox: Inbox) {
     let _ = stream.set_nodelay(true);
     let mut builder = server::Builder::new();
     builder
--- a/crates/stackpier-transport/src/peers/send.rs
+++ b/crates/stackpier-transport/src/peers/send.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The sending side: one connection to each daemon, kept while it answers.
+//! The sending side: one connection to each daemon, kept until a message on it
+//! fails.
 
 use std::{
     collections::HashMap,
@@ -22,10 +23,10 @@
 use super::{Counters, WINDOW};
 use crate::stream::{broken, collect};
 
-/// URI is the target of every message; only the body matters.
+/// URI is the target of all messages. Receivers read the body only.
 const URI: &str = "http://stackpier/message";
 
-/// Outbound is a message to be sent, and where its answer goes.
+/// Outbound is a message to send and the channel for its answer.
 pub(super) struct Outbound {
     pub(super) address: SocketAddr,
     pub(super) body: Bytes,
@@ -33,44 +34,46 @@
     pub(super) reply: Sender<Result<Response>>,
 }
 
-/// Line is an open connection to another daemon.
+/// Connection is an open connection to another daemon.
 #[derive(Clone)]
-struct Line {
+struct Connection {
     sender: client::SendRequest<Bytes>,
-    /// Above zero once a message went without an answer: the connection may
-    /// be half open and is not used again.
-    suspect: Arc<AtomicU64>,
+    /// Number of messages that got no answer. Above zero, the connection may be
+    /// half open and is not used for further messages.
+    failures: Arc<AtomicU64>,
 }
 
-/// send_all passes messages to the connections, made on first use.
-pub(super) async fn send_all(sending: Receiver<Outbound>, counters: Arc<Counters>) {
-    let mut lines: HashMap<SocketAddr, Sender<Outbound>> = HashMap::new();
-    while let Ok(outbound) = sending.recv_async().await {
+/// send_all queues messages for the connections to their daemons. The task that
+/// connects to a daemon starts with the first message to it.
+pub(super) async fn send_all(requests: Receiver<Outbound>, counters: Arc<Counters>) {
+    let mut queues: HashMap<SocketAddr, Sender<Outbound>> = HashMap::new();
+    while let Ok(outbound) = requests.recv_async().await {
         let address = outbound.address;
-        let line = lines.entry(address).or_insert_with(|| {
-            let (line, waiting) = flume::unbounded();
-            tokio::spawn(run_line(address, waiting, Arc::clone(&counters)));
-            line
+        let queue = queues.entry(address).or_insert_with(|| {
+            let (queue, queued) = flume::unbounded();
+            tokio::spawn(run_connection(address, queued, Arc::clone(&counters)));
+            queue
         });
-        let _ = line.send(outbound);
+        let _ = queue.send(outbound);
     }
 }
 
-/// run_line keeps the connection to one daemon and sends its messages.
-async fn run_line(address: SocketAddr, waiting: Receiver<Outbound>, counters: Arc<Counters>) {
-    let mut line: Option<Line> = None;
-    while let Ok(outbound) = waiting.recv_async().await {
-        if line
+/// run_connection sends the messages to one daemon, and connects again if the
+/// connection has failed.
+async fn run_connection(address: SocketAddr, queued: Receiver<Outbound>, counters: Arc<Counters>) {
+    let mut connection: Option<Connection> = None;
+    while let Ok(outbound) = queued.recv_async().await {
+        if connection
             .as_ref()
-            .is_some_and(|line| line.suspect.load(Ordering::Relaxed) > 0)
+            .is_some_and(|connection| connection.failures.load(Ordering::Relaxed) > 0)
         {
-            line = None;
+            connection = None;
         }
-        if line.is_none() {
+        if connection.is_none() {
             let connected = timeout(outbound.limit, connect(address)).await;
-            line = connected.ok().and_then(Result::ok);
+            connection = connected.ok().and_then(Result::ok);
         }
-        let Some(ready) = line.clone() else {
+        let Some(ready) = connection.clone() else {
             let text = format!("no connection to {address}");
             let _ = outbound
                 .reply
@@ -81,7 +84,7 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<Line> {
+async fn connect(address: SocketAddr) -> Result<Connection> {
     let refused = |error| Error::new(Kind::Unreachable, format!("{address}: {error}"));
     let stream = TcpStream::connect(address).await.map_err(refused)?;
     let _ = stream.set_nodelay(true);
@@ -89,18 +92,18 @@
     builder
         .initial_window_size(WINDOW)
         .initial_connection_window_size(WINDOW);
-    let (sender, connection) = builder.handshake(stream).await.map_err(broken)?;
+    let (sender, driver) = builder.handshake(stream).await.map_err(broken)?;
     tokio::spawn(async move {
-        let _ = connection.await;
+        let _ = driver.await;
     });
-    Ok(Line {
+    Ok(Connection {
         sender,
-        suspect: Arc::default(),
+        failures: Arc::default(),
     })
 }
 
-async fn deliver(line: Line, outbound: Outbound, counters: Arc<Counters>) {
-    let exchanged = timeout(outbound.limit, exchange(line.sender, outbound.body)).await;
+async fn deliver(connection: Connection, outbound: Outbound, counters: Arc<Counters>) {
+    let exchanged = timeout(outbound.limit, exchange(connection.sender, outbound.body)).await;
     let response = match exchanged {
         Ok(response) => response,
         Err(_) => Err(Error::new(Kind::Unreachable, "no answer in time")),
@@ -108,7 +111,7 @@
     match &response {
         Ok(bytes) => counters.count_received(bytes.len()),
         Err(_) => {
-            line.suspect.fetch_add(1, Ordering::Relaxed);
+            connection.failures.fetch_add(1, Ordering::Relaxed);
         }
     }
     let decoded = response.and_then(|bytes| decode::<Response>(&bytes));
--- a/crates/stackpier-transport/src/stream.rs
+++ b/crates/stackpier-transport/src/stream.rs
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Messages on the streams of `h2`.
+//! Messages on `h2` streams.
 
 use h2::RecvStream;
 use stackpier_core::{Error, Kind, Result};
 use stackpier_protocol::codec::MAX_MESSAGE;
 
-/// collect reads a whole message. One over MAX_MESSAGE is an error.
+/// collect reads a message to its end. It fails if the message is larger than
+/// [`MAX_MESSAGE`].
 pub async fn collect(body: &mut RecvStream) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
     while let Some(chunk) = body.data().await {
@@ -21,7 +22,7 @@
     Ok(bytes)
 }
 
-/// broken returns the error of a connection that failed.
+/// broken converts an `h2` error to the error of a failed connection.
 pub fn broken(error: h2::Error) -> Error {
     Error::new(Kind::Unreachable, format!("peer connection broke: {error}"))
 }
