--- a/crates/stackpier-cli/src/client.rs
+++ b/crates/stackpier-cli/src/client.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Calls to the operators' port of a daemon; the next server is asked when
-//! one can't be reached.
+//! HTTP calls to daemons. If a server cannot be reached or cannot serve, the
+//! next one in the list is called.
 
 use minreq::{Request, Response};
 use serde::{Serialize, de::DeserializeOwned};
@@ -10,39 +10,43 @@
     operator::Failure,
 };
 
-/// TIMEOUT_S bounds one call, in seconds.
+/// TIMEOUT_S is the time-out of a call to one server, in seconds.
 const TIMEOUT_S: u64 = 20;
 
-/// get asks for a value.
+/// get fetches a value.
 pub fn get<T: DeserializeOwned>(servers: &[String], path: &str) -> Result<T> {
-    ask(servers, |server| {
+    call_servers(servers, |server| {
         minreq::get(format!("http://{server}{path}")).with_timeout(TIMEOUT_S)
     })
 }
 
-/// get_within asks one server for a value, with a time-out in seconds.
-pub fn get_within<T: DeserializeOwned>(server: &str, path: &str, timeout_s: u64) -> Result<T> {
-    ask(&[server.to_owned()], |server| {
+/// get_with_timeout fetches a value from one server, with a time-out in seconds.
+pub fn get_with_timeout<T: DeserializeOwned>(
+    server: &str,
+    path: &str,
+    timeout_s: u64,
+) -> Result<T> {
+    call_servers(&[server.to_owned()], |server| {
         minreq::get(format!("http://{server}{path}")).with_timeout(timeout_s)
     })
 }
 
-/// post sends a change. It names its submission, so that it may be sent to
-/// another server when the first one's answer is lost.
+/// post sends a change. The change carries its submission's id, so it may be
+/// sent to another server when the first one's answer is lost.
 pub fn post<B: Serialize, T: DeserializeOwned>(
     servers: &[String],
     path: &str,
     body: &B,
 ) -> Result<T> {
     let body = to_json(body)?;
-    ask(servers, |server| {
+    call_servers(servers, |server| {
         minreq::post(format!("http://{server}{path}"))
             .with_timeout(TIMEOUT_S)
             .with_body(body.clone())
     })
 }
 
-fn ask<T, F>(servers: &[String], request: F) -> Result<T>
+fn call_servers<T, F>(servers: &[String], request: F) -> Result<T>
 where
     T: DeserializeOwned,
     F: Fn(&str) -> Request,
@@ -50,8 +54,8 @@
     let mut last = Error::new(Kind::Unreachable, "no server given");
     for server in servers {
         match request(server).send() {
-            Ok(response) => match read(&response) {
-                Err(error) if tries_next(error.kind) => last = error,
+            Ok(response) => match parse_response(&response) {
+                Err(error) if should_try_next(error.kind) => last = error,
                 answer => return answer,
             },
             Err(error) => {
@@ -62,12 +66,13 @@
     Err(last)
 }
 
-/// tries_next tells whether another server may have a better answer.
-fn tries_next(kind: Kind) -> bool {
+/// should_try_next reports whether another server may succeed after an error of
+/// this kind.
+fn should_try_next(kind: Kind) -> bool {
     matches!(kind, Kind::Stopping | Kind::StoreUnavailable)
 }
 
-fn read<T: DeserializeOwned>(response: &Response) -> Result<T> {
+fn parse_response<T: DeserializeOwned>(response: &Response) -> Result<T> {
     if response.status_code == 200 {
         return from_json(response.as_bytes());
     }
--- a/crates/stackpier-cli/src/command.rs
+++ b/crates/stackpier-cli/src/command.rs
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The command line, parsed.
+//! Parsing of the command line.
 
 use lexopt::{Arg, Parser, ValueExt};
 use stackpier_core::{Error, Kind, Result, key::Job};
 use uuid::Uuid;
 
-/// DEFAULT_SERVER is asked when no `--server` is given.
+/// DEFAULT_SERVER is the server called when no `--server` is given.
 const DEFAULT_SERVER: &str = "127.0.0.1:7071";
 
 const HELP: &str = "\
-stackpier: submit intents to stackpier and see what becomes of them
+stackpier: submit intents to stackpier and show their state
 
 Usage: stackpier [OPTIONS] COMMAND
 
@@ -23,19 +23,20 @@
   explain JOB    show where the tasks of a job run, or what keeps them from
                  starting; JOB is its id, 16 hex digits
   trace JOB [FILE...]
-                 show the log lines of a job, of several daemons' logs in the
-                 order of their wall clocks; without files, standard input
+                 show the log lines of a job from the logs of several daemons,
+                 in the order of their wall-clock times; without files, reads
+                 standard input
 
 Options:
-  --server IP:PORT   operators' port of a daemon; give it more than once, and
-                     the next one is asked when one can't be reached
+  --server IP:PORT   operators' port of a daemon; may be repeated: the next
+                     one is called if one can't be reached
                      [default: 127.0.0.1:7071]
   --expect VERSION   refuse the change unless the intent has this version;
                      0 means it must be new
   --submission UUID  id of the change; the same id twice is one change
   --at HOST:PORT     metrics address of any daemon, for explain
   --owners           with trace: also show who owned the cell meanwhile
-  --json             print JSON; trace prints an object a line
+  --json             print JSON; trace prints one object per line
   --version
   --help
 
@@ -49,61 +50,62 @@
 
 Exit codes: 0 done, 1 internal, 2 bad input, 3 not found, 4 conflict,
 5 unreachable, 6 not run, 7 not known whether it was done.
-Of explain: 0 found, 1 no daemon that can tell was reached, 2 bad input,
-3 not found.
+Of explain: 0 found, 1 no daemon that has the answer was reached,
+2 bad input, 3 not found.
 ";
 
-/// Command is what to do.
+/// Command is the command to run, with its arguments.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Submit the intent in a file.
     Submit(String),
     /// Cancel an intent.
     Cancel(String),
-    /// Show an intent.
+    /// Show an accepted intent.
     Get(String),
     /// Show an intent and its tasks.
     Status(String),
-    /// List intents.
+    /// List accepted intents.
     List,
-    /// Check a file.
+    /// Check an intent file.
     Check(String),
-    /// Explain where the tasks of a job are, by a daemon's metrics address.
+    /// Explain where a job's tasks run or why they wait. The text is the metrics
+    /// address of a daemon.
     Explain(Job, String),
-    /// Show the log lines of a job in these files.
+    /// Show a job's log lines from these files.
     Trace(Job, Vec<String>),
-    /// Print a text.
+    /// Print a text: the help or the version.
     Print(String),
 }
 
-/// Given is the whole command line.
+/// Args holds the parsed command line.
 #[derive(Clone, Debug)]
-pub struct Given {
-    /// What to do.
+pub struct Args {
+    /// Command to run.
     pub command: Command,
-    /// Whom to ask, in order.
+    /// Operators' addresses of daemons, in the order in which they are tried.
     pub servers: Vec<String>,
-    /// The version the operator saw.
+    /// Version that the intent must have for a change to be accepted.
     pub expect: Option<u64>,
-    /// Id of the change.
+    /// Id of the change. A change that is sent twice with one id is made once.
     pub submission: u128,
-    /// The metrics address of a daemon.
+    /// Metrics address of a daemon, for `explain`.
     pub at: Option<String>,
-    /// Whether a trace shows the owners of the cell.
+    /// Whether a trace includes lines about the cell's owner.
     pub owners: bool,
     /// Whether to print JSON.
     pub json: bool,
 }
 
-/// parse reads the command line of the process.
-pub fn parse() -> Result<Given> {
+/// parse parses the command line of the process.
+pub fn parse() -> Result<Args> {
     let usage = |error: lexopt::Error| Error::new(Kind::BadInput, format!("{error}\n{HELP}"));
-    collect(Parser::from_env()).map_err(usage)?
+    parse_args(Parser::from_env()).map_err(usage)?
 }
 
-fn collect(mut parser: Parser) -> std::result::Result<Result<Given>, lexopt::Error> {
+fn parse_args(mut parser: Parser) -> std::result::Result<Result<Args>, lexopt::Error> {
     let mut words: Vec<String> = Vec::new();
-    let mut given = Given {
+    let mut args = Args {
         command: Command::Print(HELP.to_owned()),
         servers: Vec::new(),
         expect: None,
@@ -115,31 +117,31 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Value(value) => words.push(value.string()?),
-            Arg::Long("server") => given.servers.push(parser.value()?.string()?),
-            Arg::Long("expect") => given.expect = Some(parser.value()?.parse()?),
+            Arg::Long("server") => args.servers.push(parser.value()?.string()?),
+            Arg::Long("expect") => args.expect = Some(parser.value()?.parse()?),
             Arg::Long("submission") => {
-                given.submission = parser.value()?.parse::<Uuid>()?.as_u128();
+                args.submission = parser.value()?.parse::<Uuid>()?.as_u128();
             }
-            Arg::Long("at") => given.at = Some(parser.value()?.string()?),
-            Arg::Long("owners") => given.owners = true,
-            Arg::Long("json") => given.json = true,
-            Arg::Long("help") | Arg::Short('h') => return Ok(Ok(given)),
+            Arg::Long("at") => args.at = Some(parser.value()?.string()?),
+            Arg::Long("owners") => args.owners = true,
+            Arg::Long("json") => args.json = true,
+            Arg::Long("help") | Arg::Short('h') => return Ok(Ok(args)),
             Arg::Long("version") => {
                 let text = format!("stackpier {}\n", env!("CARGO_PKG_VERSION"));
-                given.command = Command::Print(text);
-                return Ok(Ok(given));
+                args.command = Command::Print(text);
+                return Ok(Ok(args));
             }
             other => return Err(other.unexpected()),
         }
     }
-    if given.servers.is_empty() {
-        given.servers.push(DEFAULT_SERVER.to_owned());
+    if args.servers.is_empty() {
+        args.servers.push(DEFAULT_SERVER.to_owned());
     }
-    let at = given.at.as_deref();
-    Ok(command(&words, at).map(|command| Given { command, ..given }))
+    let at = args.at.as_deref();
+    Ok(parse_command(&words, at).map(|command| Args { command, ..args }))
 }
 
-fn command(words: &[String], at: Option<&str>) -> Result<Command> {
+fn parse_command(words: &[String], at: Option<&str>) -> Result<Command> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words.as_slice() {
         ["submit", file] => Ok(Command::Submit((*file).to_owned())),
@@ -148,7 +150,7 @@
         ["status", name] => Ok(Command::Status((*name).to_owned())),
         ["list"] => Ok(Command::List),
         ["check", file] => Ok(Command::Check((*file).to_owned())),
-        ["explain", job] => Ok(Command::Explain(Job::try_from(*job)?, address(at)?)),
+        ["explain", job] => Ok(Command::Explain(Job::try_from(*job)?, check_address(at)?)),
         ["trace", job, files @ ..] => {
             let files = files.iter().map(|file| (*file).to_owned());
             Ok(Command::Trace(Job::try_from(*job)?, files.collect()))
@@ -161,13 +163,13 @@
     }
 }
 
-/// address checks the address given by `--at`.
-fn address(at: Option<&str>) -> Result<String> {
-    let wrong = || Error::new(Kind::BadInput, "explain needs --at HOST:PORT");
-    let at = at.ok_or_else(wrong)?;
-    let (host, port) = at.rsplit_once(':').ok_or_else(wrong)?;
+/// check_address checks that `--at` gives a host and a port.
+fn check_address(at: Option<&str>) -> Result<String> {
+    let usage_error = || Error::new(Kind::BadInput, "explain needs --at HOST:PORT");
+    let at = at.ok_or_else(usage_error)?;
+    let (host, port) = at.rsplit_once(':').ok_or_else(usage_error)?;
     if host.is_empty() || port.parse::<u16>().is_err() {
-        return Err(wrong());
+        return Err(usage_error());
     }
     Ok(at.to_owned())
 }
--- a/crates/stackpier-cli/src/main.rs
+++ b/crates/stackpier-cli/src/main.rs
@@ -9,7 +9,7 @@
 
 use std::process::ExitCode;
 
-use command::{Command, Given};
+use command::{Args, Command};
 use stackpier_core::{Error, Kind, Result};
 use stackpier_protocol::{
     codec::from_json,
@@ -18,14 +18,14 @@
 use stackpier_state::intent::{Intent, Object, Raw};
 
 fn main() -> ExitCode {
-    let given = match command::parse() {
-        Ok(given) => given,
+    let args = match command::parse() {
+        Ok(args) => args,
         Err(error) => return fail(&error, error.kind.answer().exit),
     };
-    match run(&given) {
+    match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => match given.command {
-            Command::Explain(..) => fail(&error, explain::exit(error.kind)),
+        Err(error) => match args.command {
+            Command::Explain(..) => fail(&error, explain::exit_code(error.kind)),
             _ => fail(&error, error.kind.answer().exit),
         },
     }
@@ -39,59 +39,59 @@
     ExitCode::from(exit as u8)
 }
 
-fn run(given: &Given) -> Result<()> {
-    match &given.command {
+fn run(args: &Args) -> Result<()> {
+    match &args.command {
         Command::Print(text) => {
             print!("{text}");
             Ok(())
         }
         Command::Check(file) => {
-            let intent = Intent::try_from(read(file)?)?;
+            let intent = Intent::try_from(read_intent(file)?)?;
             println!("{file} is valid: '{}'", intent.name);
             Ok(())
         }
-        Command::Submit(file) => submit(given, file),
-        Command::Cancel(name) => cancel(given, name),
-        Command::Explain(job, at) => print::explained(given, *job, explain::ask(*job, at)?),
-        Command::Trace(job, files) => trace::run(given, *job, files),
-        Command::List => print::list(given, client::get::<Listed>(&given.servers, "/intents")?),
+        Command::Submit(file) => submit(args, file),
+        Command::Cancel(name) => cancel(args, name),
+        Command::Explain(job, at) => print::explanation(args, *job, explain::fetch(*job, at)?),
+        Command::Trace(job, files) => trace::run(args, *job, files),
+        Command::List => print::list(args, client::get::<Listed>(&args.servers, "/intents")?),
         Command::Get(name) => {
             let path = format!("/intents/{name}");
-            print::object(given, client::get::<Object>(&given.servers, &path)?)
+            print::object(args, client::get::<Object>(&args.servers, &path)?)
         }
         Command::Status(name) => {
             let path = format!("/intents/{name}/status");
-            print::status(given, client::get::<Status>(&given.servers, &path)?)
+            print::status(args, client::get::<Status>(&args.servers, &path)?)
         }
     }
 }
 
-fn read(file: &str) -> Result<Raw> {
-    let unread = |error| Error::new(Kind::BadInput, format!("{file}: not read: {error}"));
-    let bytes = std::fs::read(file).map_err(unread)?;
+fn read_intent(file: &str) -> Result<Raw> {
+    let read_error = |error| Error::new(Kind::BadInput, format!("{file}: not read: {error}"));
+    let bytes = std::fs::read(file).map_err(read_error)?;
     from_json(&bytes)
         .map_err(|error| Error::new(Kind::BadInput, format!("{file}: {}", error.message)))
 }
 
-fn submit(given: &Given, file: &str) -> Result<()> {
-    let intent = read(file)?;
-    // A wrong file is refused here already, by the check the daemon makes.
+fn submit(args: &Args, file: &str) -> Result<()> {
+    let intent = read_intent(file)?;
+    // The daemon makes the same check. Done here, an invalid file needs no call.
     Intent::try_from(intent.clone())?;
     let submit = Submit {
-        submission: given.submission,
-        expect: given.expect,
+        submission: args.submission,
+        expect: args.expect,
         intent,
     };
-    let accepted: Accepted = client::post(&given.servers, "/intents", &submit)?;
-    print::accepted(given, accepted)
+    let accepted: Accepted = client::post(&args.servers, "/intents", &submit)?;
+    print::accepted(args, accepted)
 }
 
-fn cancel(given: &Given, name: &str) -> Result<()> {
+fn cancel(args: &Args, name: &str) -> Result<()> {
     let cancel = Cancel {
-        submission: given.submission,
-        expect: given.expect,
+        submission: args.submission,
+        expect: args.expect,
     };
     let path = format!("/intents/{name}/cancel");
-    let accepted: Accepted = client::post(&given.servers, &path, &cancel)?;
-    print::accepted(given, accepted)
+    let accepted: Accepted = client::post(&args.servers, &path, &cancel)?;
+    print::accepted(args, accepted)
 }
--- a/crates/stackpier-cli/src/print.rs
+++ b/crates/stackpier-cli/src/print.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Answers as text or JSON.
+//! Printing of answers, as text or JSON.
 
 use serde::Serialize;
 use stackpier_core::{Error, Kind, Result, key};
@@ -10,12 +10,12 @@
     intent::{Kind as IntentKind, Object},
 };
 
-use crate::command::Given;
+use crate::command::Args;
 
 /// accepted prints the answer to a change.
-pub fn accepted(given: &Given, accepted: Accepted) -> Result<()> {
-    if given.json {
-        return json(&accepted);
+pub fn accepted(args: &Args, accepted: Accepted) -> Result<()> {
+    if args.json {
+        return print_json(&accepted);
     }
     println!(
         "accepted '{}' at version {}",
@@ -24,10 +24,10 @@
     Ok(())
 }
 
-/// explained prints where the tasks of a job are.
-pub fn explained(given: &Given, id: key::Job, job: explain::Job) -> Result<()> {
-    if given.json {
-        return json(&job);
+/// explanation prints where the tasks of a job run, or why they wait.
+pub fn explanation(args: &Args, id: key::Job, job: explain::Job) -> Result<()> {
+    if args.json {
+        return print_json(&job);
     }
     let state = format!("{:?}", job.state).to_lowercase();
     println!("{id} {state}, {} tasks open", job.open);
@@ -41,38 +41,38 @@
 }
 
 /// list prints the accepted intents.
-pub fn list(given: &Given, listed: Listed) -> Result<()> {
-    if given.json {
-        return json(&listed.objects);
+pub fn list(args: &Args, listed: Listed) -> Result<()> {
+    if args.json {
+        return print_json(&listed.objects);
     }
     println!(
         "{:<32} {:<8} {:<16} {:>8}  STATE",
         "NAME", "KIND", "TEAM", "VERSION"
     );
-    listed.objects.iter().for_each(row);
+    listed.objects.iter().for_each(print_row);
     Ok(())
 }
 
 /// object prints one intent.
-pub fn object(given: &Given, object: Object) -> Result<()> {
-    if given.json {
-        return json(&object);
+pub fn object(args: &Args, object: Object) -> Result<()> {
+    if args.json {
+        return print_json(&object);
     }
-    row(&object);
+    print_row(&object);
     Ok(())
 }
 
 /// status prints an intent and its tasks.
-pub fn status(given: &Given, status: Status) -> Result<()> {
-    if given.json {
-        return json(&status);
+pub fn status(args: &Args, status: Status) -> Result<()> {
+    if args.json {
+        return print_json(&status);
     }
-    row(&status.object);
-    status.tasks.iter().for_each(task);
+    print_row(&status.object);
+    status.tasks.iter().for_each(print_task);
     Ok(())
 }
 
-fn row(object: &Object) {
+fn print_row(object: &Object) {
     let intent = &object.intent;
     let kind = match intent.kind {
         IntentKind::Service(_) => "service",
@@ -88,7 +88,7 @@
     );
 }
 
-fn task(task: &TaskStatus) {
+fn print_task(task: &TaskStatus) {
     let place = match task.place {
         Place::Pending => "waits for a worker".to_owned(),
         Place::Claimed(claim) if task.running => format!("runs on {}", claim.worker),
@@ -101,7 +101,7 @@
     );
 }
 
-fn json<T: Serialize>(value: &T) -> Result<()> {
+fn print_json<T: Serialize>(value: &T) -> Result<()> {
     let text = serde_json::to_string_pretty(value)
         .map_err(|error| Error::new(Kind::Internal, error.to_string()))?;
     println!("{text}");
--- a/crates/stackpier-cli/src/trace.rs
+++ b/crates/stackpier-cli/src/trace.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The log lines of one job, of several daemons, in the order of their wall
-//! clocks. Logs are read a line at a time; only what is shown is kept.
+//! `stackpier trace`: the log lines of one job from several daemons, in the
+//! order of their wall-clock times. Logs are read line by line, and only the
+//! lines to show are kept in memory.
 
 mod line;
 mod reader;
@@ -16,27 +17,28 @@
     line::{Entry, Line},
     reader::Reader,
 };
-use crate::command::Given;
+use crate::command::Args;
 
-/// Trace is what was found so far.
+/// Trace holds the lines found so far.
 struct Trace {
     /// The job's id.
     job: String,
-    /// Whether lines about the owners of the cell are wanted.
+    /// Whether lines about the cell's owner are shown too.
     owners: bool,
     /// The lines to show.
     entries: Vec<Entry>,
-    /// Lines read.
+    /// Number of lines read.
     lines: u64,
-    /// Those that are no log lines of a daemon.
+    /// Number of lines read that are not log lines of a daemon.
     others: u64,
 }
 
-/// run prints the trace of a job from files, or from standard input without any.
-pub fn run(given: &Given, job: Job, files: &[String]) -> Result<()> {
+/// run prints the trace of a job from files, or from standard input if none are
+/// given.
+pub fn run(args: &Args, job: Job, files: &[String]) -> Result<()> {
     let mut trace = Trace {
         job: job.to_string(),
-        owners: given.owners,
+        owners: args.owners,
         entries: Vec::new(),
         lines: 0,
         others: 0,
@@ -45,35 +47,35 @@
         trace.read("standard input", io::stdin().lock())?;
     }
     for file in files {
-        let opened = File::open(file).map_err(|error| unread(file, &error))?;
+        let opened = File::open(file).map_err(|error| read_error(file, &error))?;
         trace.read(file, BufReader::new(opened))?;
     }
     trace.sort();
-    trace.print(given.json)?;
-    trace.close()
+    trace.print(args.json)?;
+    trace.finish()
 }
 
-fn unread(name: &str, error: &io::Error) -> Error {
+fn read_error(name: &str, error: &io::Error) -> Error {
     Error::new(Kind::BadInput, format!("{name}: not read: {error}"))
 }
 
 impl Trace {
     fn read<R: io::BufRead>(&mut self, name: &str, source: R) -> Result<()> {
         let mut reader = Reader::new(source);
-        while let Some(text) = reader.next().map_err(|error| unread(name, &error))? {
-            self.take(text);
+        while let Some(text) = reader.next().map_err(|error| read_error(name, &error))? {
+            self.add_line(text);
         }
         Ok(())
     }
 
-    fn take(&mut self, text: &[u8]) {
+    fn add_line(&mut self, text: &[u8]) {
         self.lines += 1;
         let Some(line) = Line::find(text) else {
             self.others += 1;
             return;
         };
         let of_job = line.is_about(&self.job);
-        let wanted = of_job || (self.owners && line.is_of_owners());
+        let wanted = of_job || (self.owners && line.is_about_owner());
         if !wanted {
             return;
         }
@@ -83,10 +85,10 @@
         }
     }
 
-    /// sort puts the lines in order and leaves out what is said of owners before
-    /// the job's first line and after its last.
+    /// sort orders the lines by time, and drops lines about owners from before the
+    /// job's first line and after its last.
     fn sort(&mut self) {
-        // Lines of the same time keep the order in which they were read.
+        // The sort is stable: lines of the same time stay in the order read.
         self.entries.sort_by_key(|entry| entry.time);
         let last = self.entries.iter().rposition(|entry| entry.of_job);
         self.entries.truncate(last.map_or(0, |last| last + 1));
@@ -101,15 +103,15 @@
             false => writeln!(out, "{entry}"),
         });
         match written.and_then(|()| out.flush()) {
-            // The reader of a pipe has seen enough.
+            // The reader of the pipe, such as `head`, has closed it.
             Err(error) if error.kind() == ErrorKind::BrokenPipe => Ok(()),
             Err(error) => Err(Error::new(Kind::Internal, format!("not written: {error}"))),
             Ok(()) => Ok(()),
         }
     }
 
-    /// close tells how much was read.
-    fn close(&self) -> Result<()> {
+    /// finish prints the counts of lines. It fails if no line is about the job.
+    fn finish(&self) -> Result<()> {
         let shown = self.entries.len();
         let Trace { lines, others, .. } = self;
         eprintln!(
--- a/crates/stackpier-cli/src/trace/line.rs
+++ b/crates/stackpier-cli/src/trace/line.rs
@@ -12,43 +12,45 @@
     },
 };
 
-/// START begins the JSON of a line; collected logs have a time and a name
-/// before it.
-const START: &[u8] = b"{\"";
-/// MILLIS writes times down to the millisecond.
+/// JSON_START is the start of the JSON in a line. Log collectors put a time and a
+/// name before it.
+const JSON_START: &[u8] = b"{\"";
+/// MILLIS is the format of times with three decimal digits of seconds.
 const MILLIS: EncodedConfig = Config::DEFAULT
     .set_time_precision(TimePrecision::Second {
         decimal_digits: NonZero::new(3),
     })
     .encode();
-/// OWNERS are the parts that tell who owns the cell.
-const OWNERS: [&str; 2] = ["owner: ", "member: "];
+/// OWNER_PARTS are the prefixes of messages about who owns the cell.
+const OWNER_PARTS: [&str; 2] = ["owner: ", "member: "];
 
-/// Line is the JSON of a log line.
+/// Line holds the fields of a log line's JSON that a trace needs.
 #[derive(Debug, Deserialize)]
 pub struct Line<'a> {
-    /// The daemon's wall clock.
+    /// Wall-clock time of the daemon.
     #[serde(borrow)]
     ts: Cow<'a, str>,
-    /// The daemon.
+    /// VM of the daemon.
     #[serde(borrow)]
     vm: Cow<'a, str>,
-    /// The part that wrote it, a colon, and what it says.
+    /// Part of the daemon that wrote the line, a colon, and the message.
     #[serde(borrow)]
     msg: Cow<'a, str>,
-    /// The job, task or request; none in lines about no one thing.
+    /// Job, task or request that the line is about; empty if it is about none.
     #[serde(borrow, default)]
     subject: Cow<'a, str>,
 }
 
 impl<'a> Line<'a> {
-    /// find reads the line in a text, if there is one.
+    /// find parses the log line in a text, or returns `None` if there is none.
     pub fn find(text: &'a [u8]) -> Option<Line<'a>> {
-        let start = text.windows(START.len()).position(|part| part == START)?;
+        let start = text
+            .windows(JSON_START.len())
+            .position(|part| part == JSON_START)?;
         serde_json::from_slice(&text[start..]).ok()
     }
 
-    /// is_about tells whether the line is about the job with an id, one of its
+    /// is_about reports whether the line is about the job with this id, one of its
     /// tasks, or a request for it.
     pub fn is_about(&self, id: &str) -> bool {
         match self.subject.strip_prefix(id) {
@@ -57,38 +59,38 @@
         }
     }
 
-    /// is_request_for tells whether the subject is a request with a path that
-    /// ends in an id; clients may write it in capitals.
+    /// is_request_for reports whether the subject is a request whose path ends in
+    /// the id. Clients may write the id in capitals.
     fn is_request_for(&self, id: &str) -> bool {
         let path = self.subject.rsplit_once('/');
         path.is_some_and(|(_, last)| last.eq_ignore_ascii_case(id))
     }
 
-    /// is_of_owners tells whether the line is about the owner of the cell.
-    pub fn is_of_owners(&self) -> bool {
-        OWNERS.iter().any(|part| self.msg.starts_with(part))
+    /// is_about_owner reports whether the line is about the owner of the cell.
+    pub fn is_about_owner(&self) -> bool {
+        OWNER_PARTS.iter().any(|part| self.msg.starts_with(part))
     }
 }
 
-/// Entry is a line that is shown.
+/// Entry is a log line to show.
 #[derive(Debug, Serialize)]
 pub struct Entry {
-    /// When the daemon wrote it, by its wall clock.
+    /// Wall-clock time at which the daemon wrote the line.
     #[serde(serialize_with = "millis")]
     pub time: OffsetDateTime,
-    /// The daemon.
+    /// VM of the daemon.
     pub daemon: String,
-    /// The job, task or request.
+    /// Job, task or request that the line is about.
     pub subject: String,
-    /// What the line says.
+    /// Message, with the part of the daemon that wrote it.
     pub message: String,
-    /// Whether it is about the job.
+    /// Whether the line is about the job; otherwise it is about the cell's owner.
     #[serde(skip)]
     pub of_job: bool,
 }
 
 impl Entry {
-    /// new keeps a line, unless its time is not readable.
+    /// new converts a log line, or returns `None` if its time is not readable.
     pub fn new(line: &Line, of_job: bool) -> Option<Entry> {
         let time = OffsetDateTime::parse(&line.ts, &Rfc3339).ok()?;
         Some(Entry {
--- a/crates/stackpier-cli/tests/explain.rs
+++ b/crates/stackpier-cli/tests/explain.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! `stackpier explain` towards a stand-in for daemons' metrics addresses.
+//! `stackpier explain` against HTTP servers that stand in for daemons' metrics
+//! addresses.
 
 use std::{
     net::SocketAddr,
@@ -16,7 +17,8 @@
 
 const ID: &str = "00000000000000a1";
 
-/// daemon answers every question with a status and a text.
+/// daemon starts a server that answers each request for the explanation of job
+/// `ID` with a status and a text, and any other request with status 500.
 fn daemon(status: u16, text: String) -> Result<SocketAddr> {
     let server = Server::http("127.0.0.1:0").map_err(|error| anyhow!("{error}"))?;
     let address = server.server_addr().to_ip();
@@ -25,14 +27,14 @@
             let known = request.url() == format!("/explain/{ID}");
             let status = if known { status } else { 500 };
             let response = Response::from_string(text.clone()).with_status_code(status);
-            // The tool may have given up.
+            // The tool may have closed the connection.
             let _ = request.respond(response);
         }
     });
-    address.ok_or_else(|| anyhow!("it listens at no IP address"))
+    address.ok_or_else(|| anyhow!("the server has no IP address"))
 }
 
-/// owner leads to the daemon that owns the cell.
+/// owner starts a daemon that names another one as the cell's owner.
 fn owner(metrics: Option<SocketAddr>) -> Result<SocketAddr> {
     let metrics = metrics.map(|address| address.to_string());
     daemon(
@@ -65,14 +67,14 @@
     Ok(command.arg("explain").args(words).output()?)
 }
 
-fn ask(at: SocketAddr, words: &[&str]) -> Result<Output> {
+fn explain_job(at: SocketAddr, words: &[&str]) -> Result<Output> {
     explain(&[&[ID, "--at", &at.to_string()], words].concat())
 }
 
 #[test]
-fn a_line_is_shown_for_each_task() -> Result<()> {
+fn each_task_is_shown_on_a_line() -> Result<()> {
     let at = daemon(200, json!({"job": job()}).to_string())?;
-    let output = ask(at, &[])?;
+    let output = explain_job(at, &[])?;
     assert_eq!(output.status.code(), Some(0), "{output:?}");
     assert_eq!(
         String::from_utf8_lossy(&output.stdout),
@@ -86,29 +88,33 @@
 }
 
 #[test]
-fn the_owner_is_asked_where_the_daemon_names_one() -> Result<()> {
+fn owner_named_by_the_daemon_is_called() -> Result<()> {
     let at = daemon(200, json!({"job": job()}).to_string())?;
-    let output = ask(owner(Some(at))?, &["--json"])?;
+    let output = explain_job(owner(Some(at))?, &["--json"])?;
     assert_eq!(output.status.code(), Some(0), "{output:?}");
     let shown: Value = serde_json::from_slice(&output.stdout)?;
     assert_eq!(shown, job());
     Ok(())
 }
 
+/// The error names the owner's VM, whether it has no known metrics address or
+/// cannot be reached there.
 #[test]
-fn an_owner_that_can_not_be_asked_is_named() -> Result<()> {
-    let gone: SocketAddr = "127.0.0.1:1".parse()?;
-    for metrics in [None, Some(gone)] {
-        let output = ask(owner(metrics)?, &[])?;
+fn unreachable_owner_is_named_in_the_error() -> Result<()> {
+    let unreachable: SocketAddr = "127.0.0.1:1".parse()?;
+    for metrics in [None, Some(unreachable)] {
+        let output = explain_job(owner(metrics)?, &[])?;
         assert_eq!(output.status.code(), Some(1), "{output:?}");
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(told.contains("vm-9"), "{told}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(stderr.contains("vm-9"), "{stderr}");
     }
     Ok(())
 }
 
+/// A daemon that names itself as the owner, without owning the cell, must not be
+/// called without end.
 #[test]
-fn daemons_that_name_each_other_are_not_asked_for_ever() -> Result<()> {
+fn calls_end_if_no_daemon_owns_the_cell() -> Result<()> {
     let server = Server::http("127.0.0.1:0").map_err(|error| anyhow!("{error}"))?;
     let at = server
         .server_addr()
@@ -120,25 +126,27 @@
             let _ = request.respond(Response::from_string(text.clone()));
         }
     });
-    assert_eq!(ask(at, &[])?.status.code(), Some(1));
+    assert_eq!(explain_job(at, &[])?.status.code(), Some(1));
     Ok(())
 }
 
 #[rstest]
 #[case::unknown(Kind::NotFound, 3)]
 #[case::no_owner(Kind::Unreachable, 1)]
-#[case::fault(Kind::Internal, 1)]
+#[case::internal(Kind::Internal, 1)]
 fn errors_have_exit_codes(#[case] kind: Kind, #[case] code: i32) -> Result<()> {
-    let output = ask(failure(kind)?, &[])?;
+    let output = explain_job(failure(kind)?, &[])?;
     assert_eq!(output.status.code(), Some(code), "{output:?}");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains("why it failed"), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("why it failed"), "{stderr}");
     Ok(())
 }
 
+/// The answer of a server that is no daemon, such as a metrics page, is not the
+/// operator's bad input (exit code 2).
 #[test]
-fn an_answer_that_is_no_explanation_is_no_bad_input() -> Result<()> {
-    let output = ask(
+fn unreadable_answer_is_not_reported_as_bad_input() -> Result<()> {
+    let output = explain_job(
         daemon(200, "# TYPE stackpier_running gauge".to_owned())?,
         &[],
     )?;
@@ -154,7 +162,7 @@
 #[case::bad_port(&[ID, "--at", "127.0.0.1:99999"])]
 #[case::no_value(&[ID, "--at"])]
 #[case::two_jobs(&[ID, ID, "--at", "127.0.0.1:1"])]
-fn wrong_use_is_told_from_the_rest(#[case] words: &[&str]) -> Result<()> {
+fn wrong_arguments_have_exit_code_2(#[case] words: &[&str]) -> Result<()> {
     let output = explain(words)?;
     assert_eq!(output.status.code(), Some(2), "{output:?}");
     Ok(())
--- a/crates/stackpier-cli/tests/trace.rs
+++ b/crates/stackpier-cli/tests/trace.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! `stackpier trace` on logs of several daemons.
+//! `stackpier trace` on the logs of several daemons.
 
 use std::{
     fs::{self, File},
@@ -15,7 +15,7 @@
 const ID: &str = "00000000000000a1";
 const OTHER: &str = "00000000000000a2";
 
-/// line returns a log line of a daemon, `second` after a full minute.
+/// line returns a log line of a daemon; `second` is the seconds part of its time.
 fn line(second: &str, daemon: &str, message: &str, subject: &str) -> String {
     json!({
         "msg": message, "level": "INFO", "ts": format!("2026-05-13T07:00:{second}"),
@@ -24,7 +24,7 @@
     .to_string()
 }
 
-/// logs writes one file for each daemon into a folder of the test.
+/// logs writes one log file for each daemon to the test's folder.
 fn logs(test: &str, daemons: &[&[String]]) -> Result<Vec<PathBuf>> {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     fs::create_dir_all(&folder)?;
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn lines_of_one_job_are_put_in_order_of_time() -> Result<()> {
+fn lines_of_one_job_are_sorted_by_time() -> Result<()> {
     let files = logs(
         "order",
         &[
             &[
                 line("05.2Z", "vm-0", "job: job completed", ID),
-                // The digits of a second differ in length, as daemons write them.
+                // Daemons write a varying number of decimal digits of seconds.
                 line(
                     "01Z",
                     "vm-0",
@@ -70,7 +70,7 @@
                     "place: run 1 on w",
                     &format!("{ID}.0.0.0"),
                 ),
-                // Half past eight in a zone one and a half hours ahead.
+                // 08:30 in a time zone that is 01:30 ahead of UTC.
                 json!({"msg": "end: failed run 1", "ts": "2026-05-13T08:30:02+01:30",
                     "vm": "vm-1", "subject": format!("{ID}.0.0.0")})
                 .to_string(),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_request_may_have_the_id_in_capitals() -> Result<()> {
+fn request_with_the_id_in_capitals_is_found() -> Result<()> {
     let upper = format!("GET /queue/{}", ID.to_uppercase());
     let files = logs(
         "capitals",
@@ -113,9 +113,9 @@
 }
 
 #[rstest]
-#[case::not_wanted(&[], 2)]
-#[case::wanted(&["--owners"], 4)]
-fn owners_are_shown_between_the_lines_of_the_job(
+#[case::without_owners(&[], 2)]
+#[case::with_owners(&["--owners"], 4)]
+fn owner_lines_are_shown_between_the_lines_of_the_job(
     #[case] words: &[&str],
     #[case] count: usize,
 ) -> Result<()> {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn lines_that_are_no_log_lines_are_counted() -> Result<()> {
+fn lines_that_are_not_log_lines_are_counted() -> Result<()> {
     let files = logs(
         "others",
         &[&[
@@ -158,16 +158,16 @@
     )?;
     let output = trace(&[ID], &files)?;
     assert_eq!(shown(&output).len(), 1, "{output:?}");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        told.contains("1 of 6 lines shown, 4 were no log lines"),
-        "{told}"
+        stderr.contains("1 of 6 lines shown, 4 were no log lines"),
+        "{stderr}"
     );
     Ok(())
 }
 
 #[test]
-fn collected_logs_have_a_time_and_a_name_before_the_line() -> Result<()> {
+fn prefixes_of_log_collectors_are_skipped() -> Result<()> {
     let wanted = line("01Z", "vm-0", "job: {job} completed", ID);
     let files = logs(
         "prefix",
@@ -190,7 +190,7 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()?;
-    let mut input = child.stdin.take().context("its input")?;
+    let mut input = child.stdin.take().context("the child has no input")?;
     writeln!(input, "{}", line("01Z", "vm-0", "job: job completed", ID))?;
     drop(input);
     let output = child.wait_with_output()?;
@@ -219,20 +219,20 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() -> Result<()> {
+fn missing_file_is_named_in_the_error() -> Result<()> {
     let output = trace(&[ID], &[PathBuf::from("no-such.log")])?;
     assert_eq!(output.status.code(), Some(2), "{output:?}");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains("no-such.log"), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("no-such.log"), "{stderr}");
     Ok(())
 }
 
-/// PEAK_KB bounds the memory of a trace over a large log; the program itself
-/// takes a few thousand.
+/// MAX_PEAK_KB is the maximum peak memory of a trace of a large log, in KB. The
+/// program alone takes a few thousand.
 #[cfg(target_os = "linux")]
-const PEAK_KB: u64 = 16 * 1024;
+const MAX_PEAK_KB: u64 = 16 * 1024;
 
-/// peak_kb returns the most memory that a process had, while it is there.
+/// peak_kb returns the peak memory of a running process, in KB.
 #[cfg(target_os = "linux")]
 fn peak_kb(id: u32) -> Option<u64> {
     let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
@@ -240,8 +240,8 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// write_large writes a log of 64 MB with one line of a job in it, and one line
-/// of 32 MB without an end in its midst.
+/// write_large writes a log of 64 MB with one line of the job. Half of the log is
+/// a single line of 32 MB, before the job's line.
 #[cfg(target_os = "linux")]
 fn write_large(path: &Path) -> Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
@@ -260,25 +260,27 @@
     Ok(())
 }
 
+/// A trace that keeps other jobs' lines, or a whole overlong line, in memory
+/// exceeds the limit.
 #[cfg(target_os = "linux")]
 #[test]
-fn a_large_log_takes_little_memory() -> Result<()> {
+fn large_log_takes_little_memory() -> Result<()> {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("large.log");
     write_large(&path)?;
-    // Its input stays open, so that its memory can be read before it ends.
+    // Its input stays open, so that it runs until its peak memory has been read.
     let mut child = Command::new(env!("CARGO_BIN_EXE_stackpier"))
         .args(["trace", ID])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()?;
-    let mut input = child.stdin.take().context("its input")?;
+    let mut input = child.stdin.take().context("the child has no input")?;
     std::io::copy(&mut File::open(&path)?, &mut input)?;
-    let peak = peak_kb(child.id()).context("it waits for more")?;
+    let peak = peak_kb(child.id()).context("the child has ended")?;
     drop(input);
     let output = child.wait_with_output()?;
     fs::remove_file(&path)?;
     assert_eq!(shown(&output).len(), 1, "{output:?}");
-    assert!(peak < PEAK_KB, "{peak} KB");
+    assert!(peak < MAX_PEAK_KB, "{peak} KB");
     Ok(())
 }
