--- a/crates/stackpier-transport/src/client.rs
+++ b/crates/stackpier-transport/src/client.rs
@@ -173,9 +173,10 @@
     matches!(error, HttpError::IoError(io) if io.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-/// check_answer returns the outcome of an answer. It is complete if its body has
-/// the length in `content-length`, is chunked (`minreq` reads up to the last
-/// chunk), or may be absent by its method or status.
+/// check_answer returns the outcome of an answer. An answer with `content-length`
+/// is complete if its body has that length, or if it answers a HEAD request.
+/// Without one it is complete if it came in chunks, up to the last one, or if its
+/// status allows no body.
 fn check_answer(response: Response, head: bool) -> Sent {
     if response.header(RAN_HEADER) == Some("no") {
         return match response.header(REFUSED_HEADER) {
