--- a/crates/stackpier-scheduler/src/daemon.rs
+++ b/crates/stackpier-scheduler/src/daemon.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Starts the daemon's servers and followers, answers its peers, and stops it in order.
+//! Starts the daemon's servers and followers, answers its peers, and carries out a planned
+//! stop.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -49,6 +50,8 @@
     let readiness = listen(settings.readiness).await?;
     let metrics = listen(settings.metrics).await?;
     let peers = listen(settings.peers).await?;
+    // The connections of the load balancer, operators and peers. A stop does not wait for
+    // them.
     let other_open = Rc::new(Cell::new(0));
     tokio::task::spawn_local(serve(
         callers_port,
@@ -128,7 +131,7 @@
             None => return,
         };
         ownership.released = true;
-        let value = encode(&ownership).expect("an ownership is encoded");
+        let value = encode(&ownership).expect("an ownership can be encoded");
         let transaction = Transaction::swap(OWNER, revision, value);
         let committed = self.store_commit(&transaction).await;
         let done = matches!(committed, Committed::Done(_));
@@ -331,7 +334,7 @@
     }
 }
 
-/// Readiness answers the load balancer's checks: 200 if this daemon takes requests, else
+/// Readiness answers the load balancer's checks: 200 if this daemon can accept jobs, else
 /// 503.
 struct Readiness<P>(Node<P>);
 
--- a/crates/stackpier-scheduler/src/explain.rs
+++ b/crates/stackpier-scheduler/src/explain.rs
@@ -32,7 +32,10 @@
     pub(crate) async fn answer_explain(&self, method: &Method, id: &str) -> Reply<Full<Bytes>> {
         let explained = match *method {
             Method::GET => self.explain(id).await,
-            _ => Err(Error::new(Kind::WrongMethod, "an explanation is only read")),
+            _ => Err(Error::new(
+                Kind::WrongMethod,
+                "an explanation supports only GET",
+            )),
         };
         let (status, body) = match explained {
             Ok(explained) => (200, to_json(&explained)),
--- a/crates/stackpier-scheduler/src/handover.rs
+++ b/crates/stackpier-scheduler/src/handover.rs
@@ -17,8 +17,8 @@
     owner::Owner,
 };
 
-/// QUERY_TIMEOUT bounds the wait for the predecessor's answer. Inherited tasks wait until
-/// the answer or this timeout.
+/// QUERY_TIMEOUT bounds the wait for the predecessor's answer. Until the answer arrives or this
+/// time has passed, the successor starts no inherited tasks.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(350);
 /// RETRY_MS is the pause before a message to the successor is sent again.
 const RETRY_MS: u64 = 200;
--- a/crates/stackpier-scheduler/src/http.rs
+++ b/crates/stackpier-scheduler/src/http.rs
@@ -30,10 +30,10 @@
 /// MAX_IDLE bounds the idle connections to one address. A worker accepts 64
 /// connections from all daemons together.
 const MAX_IDLE: usize = 6;
-/// RECENT_ANSWER is how recently a connection must have brought an answer to stay
-/// open when another call times out. It is shorter than the time, at least 450 ms,
-/// for which a call waits after its answer is due. So if the connections all went
-/// silent, their last answers are older than this when the call times out.
+/// RECENT_ANSWER is how recent the last answer on a connection must be for the
+/// connection to stay open when another call times out. Each call waits at least
+/// 450 ms beyond the time at which its answer is due. So if all connections went
+/// silent together, their last answers are older than this at the timeout.
 const RECENT_ANSWER: Duration = Duration::from_millis(300);
 /// MAX_STALL bounds the pause between two parts of a long answer. It is longer than the half
 /// second for which the packets of an open connection wait on a saturated link of 2 Mbit/s.
@@ -41,15 +41,15 @@
 /// MAX_PART_AGE is how long after the last part of a long answer the answer still counts as
 /// arriving. Other calls wait behind it on the link.
 const MAX_PART_AGE: Duration = Duration::from_millis(500);
-/// DRAIN_PAUSE is the time between the checks, at a planned stop, of whether a
-/// connection still answers a request. A connection that does not is closed at
-/// the check: at most, part of a request has arrived on it.
+/// DRAIN_PAUSE is the time between two checks, at a planned stop, of whether a
+/// request on a connection is still being answered. If none is, the connection is
+/// closed: at most a part of a request has arrived on it.
 const DRAIN_PAUSE: Duration = Duration::from_millis(500);
 /// HEADER_TIMEOUT is how long a connection may be idle, and how long a client
 /// may take to send a request's headers.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
-/// BODY_TIMEOUT is how long a client may take to send a request's body. Clients
-/// wait three seconds for an answer.
+/// BODY_TIMEOUT is how long a client may take to send a request's body. Client
+/// accounts wait three seconds for an answer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(3);
 /// ACCEPT_PAUSE is the pause after a failed accept, such as for lack of file
 /// descriptors.
@@ -104,8 +104,8 @@
 }
 
 impl Client {
-    /// call sends a call and returns its answer. After an error or a time-out its
-    /// connection is not used again, and the call may still be carried out.
+    /// call sends a call and returns its answer. After an error or a timeout its
+    /// connection is not used again, and the receiver may still carry out the call.
     pub async fn call(&self, address: &str, call: Call) -> Result<Answer> {
         let end = Instant::now() + call.limit;
         let exchange = async {
@@ -161,8 +161,8 @@
         }
     }
 
-    /// handle_timeout closes the connections that may be silent too, and returns the error for
-    /// the call that timed out.
+    /// handle_timeout closes the other connections that may have gone silent, and returns the
+    /// error for the call that timed out.
     fn handle_timeout(&self, address: &str) -> Error {
         self.close_suspect(address);
         Error::new(Kind::Unreachable, format!("{address}: no answer in time"))
@@ -202,8 +202,8 @@
 
     fn take_idle(&self, address: &str) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
-        let senders = idle.get_mut(address)?;
-        while let Some(connection) = senders.pop() {
+        let connections = idle.get_mut(address)?;
+        while let Some(connection) = connections.pop() {
             if !connection.sender.is_closed() {
                 return Some(connection.sender);
             }
@@ -213,13 +213,13 @@
 
     fn keep_idle(&self, address: &str, sender: Sender) {
         let mut idle = self.idle.borrow_mut();
-        let senders = match idle.get_mut(address) {
-            Some(senders) => senders,
+        let connections = match idle.get_mut(address) {
+            Some(connections) => connections,
             None => idle.entry(address.to_owned()).or_default(),
         };
-        if senders.len() < MAX_IDLE && !sender.is_closed() {
+        if connections.len() < MAX_IDLE && !sender.is_closed() {
             let answered = Instant::now();
-            senders.push(IdleConnection { sender, answered });
+            connections.push(IdleConnection { sender, answered });
         }
     }
 
@@ -356,7 +356,7 @@
 pub async fn body(body: Incoming, max_bytes: usize) -> Result<Bytes> {
     let limited = Limited::new(body, max_bytes);
     let Ok(collected) = timeout(BODY_TIMEOUT, limited.collect()).await else {
-        return Err(Error::new(Kind::TooSlow, "the body did not come in time"));
+        return Err(Error::new(Kind::TooSlow, "the body did not arrive in time"));
     };
     match collected {
         Ok(collected) => Ok(collected.to_bytes()),
@@ -366,7 +366,7 @@
         }
         Err(error) => Err(Error::new(
             Kind::BadInput,
-            format!("the body was cut: {error}"),
+            format!("the body was cut off: {error}"),
         )),
     }
 }
--- a/crates/stackpier-scheduler/src/jobs.rs
+++ b/crates/stackpier-scheduler/src/jobs.rs
@@ -18,12 +18,12 @@
     store::{Committed, Condition, Item, Put, Transaction},
 };
 
-/// SUBMIT_LIMIT is how long a daemon tries to write a job to the store. Clients
-/// wait three seconds in all, and need the rest to try another daemon.
+/// SUBMIT_LIMIT is how long a daemon tries to write a job to the store. Client accounts wait
+/// three seconds in all, and need the rest to try another daemon.
 const SUBMIT_LIMIT: Duration = Duration::from_millis(1_600);
 /// LAST_WRITE_MS is how long before the end of a planned stop the last attempt to write may
 /// begin. An attempt takes up to 0.65 s, if it goes through a peer, and its answer still has to
-/// reach the client.
+/// reach the client account.
 const LAST_WRITE_MS: u64 = 800;
 /// FORWARD_LIMIT bounds forwarding a write to a peer.
 const FORWARD_LIMIT: Duration = Duration::from_millis(500);
@@ -39,8 +39,8 @@
 /// NOTIFY_TRIES is how many times a daemon tries to send the owner a message
 /// about a job. The owner also finds the job in the store.
 const NOTIFY_TRIES: usize = 2;
-/// RETRY_AFTER_MS is when a client should try again after a refusal. A takeover or a short outage
-/// lasts about this long.
+/// RETRY_AFTER_MS is how long a client account should wait after a refusal until it tries again.
+/// A takeover or a short outage lasts about this long.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Source tells how the owner learnt of a job.
@@ -58,9 +58,9 @@
 
 impl<P: Platform> Node<P> {
     /// submit writes a job to the store and notifies the owner. It returns `Ok`
-    /// once the job is in the store, also if an earlier attempt wrote it. An error
-    /// whose kind says that nothing ran means that the job was not accepted and
-    /// never runs.
+    /// once the job is in the store, also if an earlier attempt wrote it. After an
+    /// error of kind [`Kind::WriteUnknown`] the job may have been accepted; any other
+    /// error means that it was not and never runs.
     pub async fn submit(&self, job: key::Job, queue: &Queue, spec: Spec) -> Result<()> {
         let end = self.write_deadline();
         if Instant::now() >= end {
@@ -96,7 +96,12 @@
                     }
                 }
                 Committed::Refused if unconfirmed => pause(RETRY_MS).await,
-                Committed::Refused => return Err(refusal("the store takes no writes", false)),
+                Committed::Refused => {
+                    return Err(refusal(
+                        "the write did not reach the store or was refused",
+                        false,
+                    ));
+                }
                 Committed::Unknown => unconfirmed = true,
             }
         }
@@ -137,7 +142,7 @@
     /// commit commits a transaction, through a peer if this daemon can't reach the
     /// store. The transaction's conditions must make it safe to be done twice. No
     /// further peer is tried from `end` on: all of them together may take three
-    /// seconds, which is longer than clients wait and may pass the end of a planned stop.
+    /// seconds, which is longer than client accounts wait and may pass the end of a planned stop.
     async fn commit(&self, transaction: &Transaction, end: Instant) -> Committed {
         let mut unconfirmed = false;
         if self.store_answers() {
@@ -188,8 +193,8 @@
         let others = others.filter(|member| member.vm != *own);
         let mut others: Vec<_> = others.collect();
         // The order differs between daemons, so that they don't all ask the same peer.
-        let place = |vm: &str| key::weight(vm.as_bytes(), self.boot.0);
-        others.sort_by_key(|member| (Some(member.vm.as_str()) != owner, place(&member.vm)));
+        let weight = |vm: &str| key::weight(vm.as_bytes(), self.boot.0);
+        others.sort_by_key(|member| (Some(member.vm.as_str()) != owner, weight(&member.vm)));
         let addresses = others.into_iter().map(|member| member.address.clone());
         addresses.take(count).collect()
     }
@@ -202,7 +207,7 @@
         self.store_commit(transaction).await
     }
 
-    /// notify_accepted gives the owner a job that is in the store.
+    /// notify_accepted passes a job that is in the store to the owner, which may be this daemon.
     fn notify_accepted(&self, job: key::Job, record: Record) {
         let own = self.owner.borrow().as_ref().map(|owner| owner.fence);
         match own {
@@ -211,13 +216,13 @@
         }
     }
 
-    /// add_job gives the cell a job that is in the store. It logs how the owner first learnt of
+    /// add_job passes a job that is in the store to the cell. It logs how the owner first learnt of
     /// the job and with what progress, which shows whether a successor knew what was done
     /// before.
     ///
     /// A job that was accepted under a predecessor may have begun, and only loading the cell
-    /// tells how far it is. If loading did not yield the job, because the job or its progress
-    /// could not be read or is forgotten, the job is ignored whatever the source.
+    /// shows its progress. If loading did not yield the job, because the job or its progress
+    /// could not be read or was removed from the store, the job is ignored whatever the source.
     pub(crate) fn add_job(
         &self,
         fence: u64,
@@ -330,7 +335,10 @@
             }
             pause(RETRY_MS).await;
         }
-        Err(refusal("the store took no cancelling in time", unconfirmed))
+        Err(refusal(
+            "the store did not confirm the cancellation in time",
+            unconfirmed,
+        ))
     }
 
     fn notify_cancelled(&self, job: key::Job) {
@@ -395,8 +403,11 @@
 }
 
 /// unreadable builds the error for a job's entry in the store that can't be decoded. The request
-/// of the client account is not at fault.
+/// itself is valid, so the client account is asked to try again.
 fn unreadable(kind: Kind, error: &Error) -> Error {
-    let why = format!("what is kept of the job is not readable: {}", error.message);
+    let why = format!(
+        "the entry of the job in the store is not readable: {}",
+        error.message
+    );
     Error::new(kind, why).after(RETRY_AFTER_MS)
 }
--- a/crates/stackpier-scheduler/src/lib.rs
+++ b/crates/stackpier-scheduler/src/lib.rs
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The daemon around a cell. It accepts jobs, saves them in the store, follows the
-//! configuration and the other daemons, and, when it owns the cell, carries out the
-//! decisions of `stackpier-cell`.
+//! The daemon that schedules a cell, which is a set of workers. Every daemon of a cell
+//! accepts jobs, saves them in the store and follows the configuration and the other
+//! daemons. One of them at a time owns the cell and carries out the decisions of
+//! `stackpier-cell`.
 //!
 //! One thread runs everything: a `tokio` event loop with local tasks. The platform's
 //! interfaces are behind the traits [`Store`], [`Fleet`], [`Adviser`], [`Hosts`] and
--- a/crates/stackpier-scheduler/src/link.rs
+++ b/crates/stackpier-scheduler/src/link.rs
@@ -52,6 +52,7 @@
     Heartbeat(Heartbeat),
     /// Asks whether the receiver had a recent answer from the owner with this
     /// fence.
+    #[serde(rename = "Heard")]
     HasRecentContact(u64),
     /// Reports a job that is in the store.
     Accepted(key::Job, Box<Record>),
@@ -111,7 +112,7 @@
 pub enum Response {
     /// The answer to a heartbeat.
     Alive(Alive),
-    /// A yes or no.
+    /// The answer to a yes-or-no question, or whether a message was accepted.
     Flag(bool),
     /// The state of a job, `None` if the job is not known.
     State(Option<State>),
@@ -209,11 +210,11 @@
         let body = Bytes::from(encode(request)?);
         let sent = Instant::now();
         let end = sent + limit;
-        let Some(kept) = self.find_kept(address) else {
+        let Some(connection) = self.find_connection(address) else {
             return self.send_anew(address, body, end).await;
         };
-        let (number, answered) = (kept.number, Rc::clone(&kept.answered));
-        let first = self.send_on(address, kept, body.clone(), end);
+        let (number, answered) = (connection.number, Rc::clone(&connection.answered));
+        let first = self.send_on(address, connection, body.clone(), end);
         let mut first = std::pin::pin!(first);
         tokio::select! {
             answer = first.as_mut() => match answer {
@@ -243,7 +244,7 @@
     /// send_anew sends a message on the connection that another message has
     /// opened meanwhile, or else opens one.
     async fn send_anew(&self, address: &str, body: Bytes, end: Instant) -> Result<Response> {
-        let connection = match self.find_kept(address) {
+        let connection = match self.find_connection(address) {
             Some(connection) => connection,
             None => timeout_at(end, self.open(address))
                 .await
@@ -270,7 +271,7 @@
         answer
     }
 
-    fn find_kept(&self, address: &str) -> Option<Connection> {
+    fn find_connection(&self, address: &str) -> Option<Connection> {
         self.connections.borrow().get(address).cloned()
     }
 
--- a/crates/stackpier-scheduler/src/log.rs
+++ b/crates/stackpier-scheduler/src/log.rs
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //! The log: JSON lines on standard output, written by a separate thread so that no decision
-//! waits for a write. Each part has a rate limit, and a line reports how many lines it
-//! dropped.
+//! waits for a write. Each part of the daemon, such as `owner` or `save`, has its own rate
+//! limit. Lines beyond the limit are dropped, and a later line gives their number.
 
 use std::{cell::RefCell, collections::HashMap, sync::Mutex};
 
 use slog::{Drain, Logger, o};
 use stackpier_core::Millis;
 
-/// CHANNEL_LINES is how many lines may wait to be written. More are dropped and reported in
-/// a line.
+/// CHANNEL_LINES is how many lines may wait to be written. Further lines are dropped, and a
+/// later line gives their number.
 const CHANNEL_LINES: usize = 4_096;
 /// MAX_LINES_PER_S is how many lines a part may write in a second on a large VM.
 const MAX_LINES_PER_S: u32 = 400;
@@ -41,7 +41,7 @@
 struct Window {
     start: Millis,
     lines: u32,
-    omitted: u32,
+    dropped: u32,
 }
 
 /// Admission is the decision whether a line is written.
@@ -50,7 +50,7 @@
     /// Write the line. The value is the number of the part's lines dropped before it.
     Write(u32),
     /// Drop the line.
-    Omit,
+    Drop,
 }
 
 impl RateLimit {
@@ -68,9 +68,9 @@
     pub fn check(&self, now: Millis, part: &'static str) -> Admission {
         let mut parts = self.parts.borrow_mut();
         let window = parts.entry(part).or_default();
-        let mut omitted = 0;
+        let mut dropped = 0;
         if now.since(window.start) >= WINDOW_MS {
-            omitted = window.omitted;
+            dropped = window.dropped;
             *window = Window {
                 start: now,
                 ..Window::default()
@@ -78,9 +78,9 @@
         }
         window.lines += 1;
         if window.lines > self.lines_per_s {
-            window.omitted += 1;
-            return Admission::Omit;
+            window.dropped += 1;
+            return Admission::Drop;
         }
-        Admission::Write(omitted)
+        Admission::Write(dropped)
     }
 }
--- a/crates/stackpier-scheduler/src/monitor.rs
+++ b/crates/stackpier-scheduler/src/monitor.rs
@@ -51,7 +51,8 @@
 const STORELESS_MS: u64 = 1_000;
 /// RANK_MS is how much longer each daemon waits than the one ranked before it.
 const RANK_MS: u64 = 250;
-/// VOTE_TIMEOUT bounds the wait for another daemon's answer whether it reaches the owner.
+/// VOTE_TIMEOUT bounds the wait for another daemon's vote: its answer to whether it reaches
+/// the owner.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(150);
 /// REGISTER_RETRY_MS is the pause before registering is retried.
 const REGISTER_RETRY_MS: u64 = 200;
@@ -73,11 +74,13 @@
 /// Monitor sends heartbeats to the owner and takes the cell over when the owner fails.
 struct Monitor<P> {
     node: Node<P>,
+    /// The reason to take over, if there is one, and since when it has lasted.
     reason: Option<(Reason, Millis)>,
     /// When this daemon last sent a heartbeat.
     sent: Millis,
     /// The fence of the owner that last answered a heartbeat.
     answered: u64,
+    /// Since when the owner has been without the store while this daemon reaches it.
     storeless_since: Option<Millis>,
 }
 
@@ -111,7 +114,7 @@
         milli_cores: node.settings.milli_cores,
         link_kbps: node.settings.link_kbps,
     };
-    let value = encode(&member).expect("a member is encoded");
+    let value = encode(&member).expect("a member can be encoded");
     let transaction = Transaction {
         puts: vec![Put {
             key: keys::member(&member.vm),
@@ -293,8 +296,8 @@
             return None;
         }
         let since = *self.storeless_since.get_or_insert(now);
-        let replaced = !self.is_disabled(Mechanism::Storeless);
-        (replaced && now.since(since) >= STORELESS_MS).then_some(Reason::Storeless)
+        let enabled = !self.is_switched_off(Mechanism::Storeless);
+        (enabled && now.since(since) >= STORELESS_MS).then_some(Reason::Storeless)
     }
 
     async fn heartbeat(&self, ownership: &Ownership) -> Option<Alive> {
@@ -348,7 +351,7 @@
     /// one.
     async fn take_over(&mut self, reason: Reason, owned: Option<Owned>) {
         let fence = owned.as_ref().map_or(0, |owned| owned.ownership.fence);
-        let needs_votes = reason == Reason::Silent && !self.is_disabled(Mechanism::Votes);
+        let needs_votes = reason == Reason::Silent && !self.is_switched_off(Mechanism::Votes);
         if needs_votes && self.is_reachable_by_others(&owned, fence).await {
             self.reason = None;
             self.node.last_contact.set(self.node.mono());
@@ -363,7 +366,7 @@
         self.swap(reason, owned, fence).await;
     }
 
-    fn is_disabled(&self, mechanism: Mechanism) -> bool {
+    fn is_switched_off(&self, mechanism: Mechanism) -> bool {
         self.node.settings.cell.without.contains(mechanism)
     }
 
@@ -422,7 +425,7 @@
             fence,
             released: false,
         };
-        let value = encode(&ownership).expect("an ownership is encoded");
+        let value = encode(&ownership).expect("an ownership can be encoded");
         let transaction = Transaction::swap(OWNER, revision, value.clone());
         self.node.record_swap(fence);
         match self.node.store_commit(&transaction).await {
--- a/crates/stackpier-scheduler/src/node.rs
+++ b/crates/stackpier-scheduler/src/node.rs
@@ -65,6 +65,7 @@
     pub(crate) platform: P,
     pub(crate) boot: Boot,
     pub(crate) log: Logger,
+    /// Limits the rate of log lines.
     pub(crate) limit: RateLimit,
     pub(crate) metrics: Metrics,
     pub(crate) links: Links,
@@ -201,12 +202,12 @@
     /// limit.
     pub(crate) fn log_about(&self, part: &'static str, subject: Option<String>, text: &str) {
         match self.limit.check(self.mono(), part) {
-            Admission::Omit => {}
-            Admission::Write(omitted) => {
-                if omitted > 0 {
+            Admission::Drop => {}
+            Admission::Write(dropped) => {
+                if dropped > 0 {
                     warn!(
                         self.log,
-                        "log: {} lines of part {} dropped by the rate limit", omitted, part
+                        "log: {} lines of part {} dropped by the rate limit", dropped, part
                     );
                 }
                 let subject = subject.unwrap_or_default();
--- a/crates/stackpier-scheduler/src/relay.rs
+++ b/crates/stackpier-scheduler/src/relay.rs
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Calls to workers that other daemons send for the owner.
+//! Calls to workers that other daemons, the owner's helpers, send for it.
 //!
 //! The starts and lease renewals of a large cell need more than the link and the processor
 //! of a small VM provide: a start carries its job's payload, and each call takes about 40
 //! microseconds of a core. The owner sends as many calls itself as fit into a share of both.
-//! It forwards the rest in batches to daemons in the workers' data centres, each payload
+//! It forwards the rest in batches to helpers in the workers' data centres, each payload
 //! once. With 85 workers, on VMs of 0.12 cores and 2 Mbit/s, the goodput was 0.83 with
 //! forwarded starts and 0.16 without.
 //!
 //! What a worker does with a call does not depend on who sends it: the call contains the
-//! fence, the worker's incarnation, the run's number and the end of the lease. A call that
-//! is sent late, by a daemon that was frozen, is refused like any late call. A batch that
-//! arrives twice, on two connections, is carried out once: the owner places a refused start
-//! on another worker, and a copy of that start, seconds later, might fit on the first. Only
-//! the owner decides to renew a lease: each renewal that another daemon sends is one that the
-//! owner ordered.
+//! fence, the worker's id, the run's number and the end of the lease. A call that is sent
+//! late, by a daemon that was frozen, is refused like any late call. A batch that arrives
+//! twice, on two connections, is carried out once: the owner places a refused start on
+//! another worker, and a copy of that start, seconds later, might fit on the first. Only the
+//! owner decides to renew a lease: each renewal that a helper sends is one that the owner
+//! ordered.
 
 mod batch;
 mod helper;
@@ -57,13 +57,13 @@
 /// renewal's own wait, in milliseconds: as long as for a renewal that the owner sends itself,
 /// and the round trip to the other daemon.
 const RENEWAL_MARGIN_MS: u64 = 750;
-/// AVOID_MS is how long no calls are forwarded to a daemon that did not answer, and how long
+/// AVOID_MS is how long no calls are forwarded to a helper that did not answer, and how long
 /// the owner itself calls a worker that did not answer a forwarded call.
 const AVOID_MS: u64 = 3_000;
-/// WORKERS_PER_HELPER is how many workers one daemon calls for the owner. In a busy cell each
+/// WORKERS_PER_HELPER is how many workers one helper calls for the owner. In a busy cell each
 /// worker gets five calls a second, so 128 workers use a quarter of a VM of 0.12 cores.
 const WORKERS_PER_HELPER: usize = 128;
-/// TRIES is how many times a start is forwarded. The second attempt is for a daemon that no
+/// TRIES is how many times a start is forwarded. The second attempt is for a helper that no
 /// longer has the payload.
 const TRIES: usize = 2;
 /// MAX_RECEIVED is how many received batches a daemon remembers, so that it carries out none
@@ -75,7 +75,8 @@
 /// DIRECT_SHARE is the share of the owner's link and processor that is available for the calls
 /// that it sends itself.
 const DIRECT_SHARE: f64 = 0.3;
-/// SAVED_MS bounds the unused time that is saved up, in milliseconds.
+/// SAVED_MS bounds the unused time that a [`Budget`] saves up for later calls, in
+/// milliseconds.
 const SAVED_MS: f64 = 100.0;
 
 /// Budget limits the calls that the owner sends itself to a share of its link and processor.
@@ -116,18 +117,17 @@
 /// and of those that it sends for another owner.
 pub(crate) struct Relays {
     budget: RefCell<Budget>,
-    /// How many daemons of each data centre call workers for the owner.
+    /// How many helpers the owner has in each data centre.
     helpers: Cell<usize>,
-    /// The calls that are gathered for the next batch, by the address of the daemon that
-    /// sends them.
+    /// The calls that are gathered for the next batch, by the address of the helper.
     gathered: RefCell<HashMap<String, Batch>>,
     /// The calls that are not answered yet, by their numbers.
     unanswered: RefCell<HashMap<u64, oneshot::Sender<Outcome>>>,
     /// The number of the last call.
     number: Cell<u64>,
-    /// The jobs whose payloads other daemons have, by the daemons' addresses.
+    /// The jobs whose payloads helpers have, by the helpers' addresses.
     known_payloads: RefCell<HashMap<String, Recent<key::Job>>>,
-    /// When daemons and workers last failed to answer, by their addresses.
+    /// When helpers and workers last failed to answer, by their addresses.
     failed: RefCell<BTreeMap<String, Millis>>,
     /// The payloads that this daemon was sent.
     payloads: RefCell<Payloads>,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// is_avoided reports whether a daemon or worker lately did not answer.
+    /// is_avoided reports whether a helper or worker lately did not answer.
     fn is_avoided(&self, address: &str, now: Millis) -> bool {
         let failed = self.failed.borrow();
         failed
@@ -163,15 +163,15 @@
             .is_some_and(|at| now.since(*at) < AVOID_MS)
     }
 
-    /// avoid records that a daemon or worker did not answer.
+    /// avoid records that a helper or worker did not answer.
     fn avoid(&self, address: &str, now: Millis) {
         let mut failed = self.failed.borrow_mut();
         failed.retain(|_, at| now.since(*at) < AVOID_MS);
         failed.insert(address.to_owned(), now);
     }
 
-    /// record_failure records that a daemon did not answer. The daemon may have been restarted,
-    /// so it is no longer expected to have any payloads.
+    /// record_failure records that a helper did not answer. It may have been restarted, so it is
+    /// no longer expected to have any payloads.
     fn record_failure(&self, address: &str, now: Millis) {
         self.known_payloads.borrow_mut().remove(address);
         self.avoid(address, now);
@@ -185,14 +185,14 @@
         number
     }
 
-    /// forget_payload records that a daemon does not have the payload of a job.
+    /// forget_payload records that a helper does not have the payload of a job.
     fn forget_payload(&self, address: &str, job: key::Job) {
         if let Some(known) = self.known_payloads.borrow_mut().get_mut(address) {
             known.remove(job);
         }
     }
 
-    /// deliver_answers passes the answers from another daemon to the calls that wait for them.
+    /// deliver_answers passes the answers from a helper to the calls that wait for them.
     pub(crate) fn deliver_answers(&self, answers: Vec<Numbered<Outcome>>) {
         for Numbered { number, item } in answers {
             if let Some(answer) = self.unanswered.borrow_mut().remove(&number) {
@@ -202,8 +202,8 @@
         }
     }
 
-    /// set_helper_count sets how many daemons of each data centre call workers for the owner.
-    /// It depends on the size of the cell.
+    /// set_helper_count sets how many helpers the owner has in each data centre, by the size of
+    /// the cell.
     pub(crate) fn set_helper_count(&self, workers: usize, data_centres: usize) {
         let each = workers / data_centres.max(1);
         self.helpers.set(each.div_ceil(WORKERS_PER_HELPER).max(1));
@@ -214,13 +214,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Delivery {
     pub outcome: Started,
-    /// The address of the daemon that sent the start for this one, if another did.
+    /// The address of the helper that sent the start, or `None` if this daemon sent it.
     pub helper: Option<String>,
 }
 
 impl<P: Platform> Node<P> {
-    /// update_helper_count sets how many daemons call workers for this one, if it is the
-    /// owner.
+    /// update_helper_count sets how many helpers this daemon has, if it is the owner.
     pub(crate) fn update_helper_count(&self) {
         let owner = self.owner.borrow();
         if let Some(owner) = owner.as_ref() {
@@ -232,8 +231,8 @@
         }
     }
 
-    /// start_or_forward sends a start. It goes through another daemon if the share of this
-    /// one's link and processor is used up.
+    /// start_or_forward sends a start, through a helper if the share of this daemon's link and
+    /// processor is used up.
     pub(crate) async fn start_or_forward(&self, start: &Start) -> Delivery {
         let busy_ms = self.settings.costs.start_ms(start.payload.len());
         let worker = &start.order.address;
@@ -254,7 +253,7 @@
         }
     }
 
-    /// renew_or_forward sends a lease renewal, through another daemon under the same condition.
+    /// renew_or_forward sends a lease renewal, through a helper under the same condition.
     pub(crate) async fn renew_or_forward(&self, renewal: &Renewal) -> Renewed {
         let busy_ms = self.settings.costs.renewal_ms();
         let Some(helper) = self.choose_helper(&renewal.address, &renewal.data_centre, busy_ms)
@@ -266,7 +265,7 @@
             batch.add_renewal(number, renewal);
         });
         let renewed = match outcome.await {
-            Some(Outcome::Held(renewed)) => renewed,
+            Some(Outcome::Renewed(renewed)) => renewed,
             _ => Renewed::Silent,
         };
         let answered = !matches!(renewed, Renewed::Silent);
@@ -282,8 +281,8 @@
         self.metrics.forwarded_calls.add(1, &labels(call, outcome));
     }
 
-    /// choose_helper returns the address of the daemon that calls a worker, or `None` if this
-    /// daemon does so. The same daemon is chosen for a worker as long as it answers, so that
+    /// choose_helper returns the address of the helper that calls a worker, or `None` if this
+    /// daemon does so. The same helper is chosen for a worker as long as it answers, so that
     /// the worker has few connections.
     fn choose_helper(&self, worker: &str, data_centre: &str, busy_ms: f64) -> Option<String> {
         let now = self.mono();
@@ -301,12 +300,12 @@
         let near = |member: &&Member| member.data_centre == data_centre;
         let mut helpers: Vec<&Member> = others().filter(near).filter(usable).collect();
         if helpers.is_empty() {
-            // If no daemon answered, the likely cause is the owner's own link.
+            // If no helper answered lately, the likely cause is the owner's own link.
             helpers = others().filter(near).collect();
         }
         helpers.sort_by_key(|member| {
-            let place = key::weight(member.vm.as_bytes(), 0);
-            (Reverse(member.milli_cores), place)
+            let tie_breaker = key::weight(member.vm.as_bytes(), 0);
+            (Reverse(member.milli_cores), tie_breaker)
         });
         let weight = |member: &&&Member| {
             key::weight(worker.as_bytes(), key::weight(member.vm.as_bytes(), 0))
@@ -317,7 +316,7 @@
             .map(|member| member.address.clone())
     }
 
-    /// forward_start makes another daemon send a start, and returns the worker's answer.
+    /// forward_start makes a helper send a start, and returns the worker's answer.
     async fn forward_start(&self, helper: &str, start: &Start) -> Started {
         for _ in 0..TRIES {
             let outcome = self.forward(
@@ -341,8 +340,8 @@
         Started::Unhealthy
     }
 
-    /// forward makes another daemon send a call. It returns the answer, or `None` if none arrives
-    /// within the limit.
+    /// forward makes a helper send a call. It returns the answer, or `None` if none arrives within
+    /// the limit.
     async fn forward(
         &self,
         helper: &str,
@@ -370,8 +369,8 @@
         }
     }
 
-    /// gather adds a call to the next batch for a daemon, and returns whether it is the first
-    /// of its kind in the batch: the caller then sends the batch after a pause.
+    /// gather adds a call to the next batch for a helper, and returns whether it is the first
+    /// start or the first renewal in the batch. If so, `forward` sends the batch after a pause.
     fn gather(
         &self,
         helper: &str,
@@ -391,7 +390,7 @@
         batch.count_kinds() > before
     }
 
-    /// send_gathered sends the gathered calls to a daemon, if there still are any.
+    /// send_gathered sends the gathered calls to a helper, if there still are any.
     async fn send_gathered(&self, helper: &str) {
         let batch = self.relays.gathered.borrow_mut().remove(helper);
         let Some(batch) = batch else {
--- a/crates/stackpier-scheduler/src/relay/batch.rs
+++ b/crates/stackpier-scheduler/src/relay/batch.rs
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The messages between the owner and the daemons that call workers for it, and the payloads
-//! of jobs that these daemons keep.
+//! The messages between the owner and its helpers, and the payloads of jobs that helpers keep.
 
 use std::{collections::VecDeque, rc::Rc};
 
@@ -10,19 +9,20 @@
 
 use super::recent::Recent;
 
-/// MAX_PAYLOADS is how many payloads a daemon keeps. The tasks of a job start within some
-/// seconds, during which a large cell accepts 60 jobs. A payload has at most 4,000 bytes, so
-/// all of them take half a megabyte at most.
+/// MAX_PAYLOADS is how many payloads a helper keeps, and for how many jobs the owner remembers
+/// that the helper has the payload. The tasks of a job start within some seconds, during which
+/// a large cell accepts 60 jobs. A payload has at most 4,000 bytes, so all of them take half a
+/// megabyte at most.
 pub(super) const MAX_PAYLOADS: usize = 128;
 
-/// Batch holds calls to workers that another daemon sends for the owner.
+/// Batch holds calls to workers that a helper sends for the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch {
     /// The address to which the answers go.
     pub(super) owner: String,
     /// The owner's fence.
     fence: u64,
-    /// The payloads that the other daemon is not known to have.
+    /// The payloads that the helper is not known to have.
     payloads: Vec<Payload>,
     starts: Vec<Numbered<StartCall>>,
     #[serde(rename = "looks")]
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct StartCall {
     address: String,
-    /// The incarnation of the worker that the call is for.
+    /// The id of the worker that the call is for, which all its incarnations share.
     #[serde(rename = "life")]
     worker_id: String,
     task: TaskName,
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct RenewalCall {
     address: String,
-    /// The incarnation of the worker that the call is for.
+    /// The id of the worker that the call is for, which all its incarnations share.
     #[serde(rename = "life")]
     worker_id: String,
     deadline_ms: Option<u64>,
@@ -78,10 +78,11 @@
 pub enum Outcome {
     /// The start was sent, and this is the worker's answer.
     Started(Started),
-    /// The start was not sent, as the daemon does not have the job's payload.
+    /// The start was not sent, as the helper does not have the job's payload.
     NoPayload,
     /// The worker's answer to a lease renewal.
-    Held(Renewed),
+    #[serde(rename = "Held")]
+    Renewed(Renewed),
 }
 
 impl Batch {
@@ -97,7 +98,7 @@
     }
 
     /// add_start adds a start, and its job's payload unless the job is in `known`, the jobs
-    /// whose payloads the other daemon has. No two calls of the owner have the same number.
+    /// whose payloads the helper has. No two calls of the owner have the same number.
     pub fn add_start(&mut self, number: u64, start: &Start, known: &mut Recent<key::Job>) {
         let job = start.order.task.job;
         self.fence = start.order.fence;
@@ -215,7 +216,7 @@
     }
 }
 
-/// Payloads holds the latest payloads that a daemon was sent, by job.
+/// Payloads holds the latest payloads that a helper was sent, by job.
 #[derive(Debug, Default)]
 pub(super) struct Payloads {
     latest: VecDeque<(key::Job, Rc<str>)>,
--- a/crates/stackpier-scheduler/src/relay/helper.rs
+++ b/crates/stackpier-scheduler/src/relay/helper.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Sending calls to workers for the owner, and returning the answers.
+//! The helper's side: sends calls to workers for the owner, and returns the answers.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
 /// START_LIMIT bounds a start that is sent for the owner. Workers answer within a few
 /// milliseconds; starts that the owner sends itself may take 700 ms.
 const START_LIMIT: Duration = Duration::from_millis(300);
-/// GATHER_MS is how long answers are gathered for a message. Where tasks end often, several
-/// answers share a message.
+/// GATHER_MS is how long answers are gathered for one message to the owner. Where tasks end
+/// often, several answers share a message.
 const GATHER_MS: u64 = 5;
 /// ANSWER_LIMIT bounds sending a message with answers. The owner waits no longer for them.
 const ANSWER_LIMIT: Duration = Duration::from_millis(300);
@@ -47,7 +47,7 @@
         for Numbered { number, item } in batch.take_renewals() {
             let (node, owner) = (self.clone(), batch.owner.clone());
             tokio::task::spawn_local(async move {
-                let item = Outcome::Held(node.send_renewal_for(&item).await);
+                let item = Outcome::Renewed(node.send_renewal_for(&item).await);
                 node.answer_owner(owner, Numbered { number, item }).await;
             });
         }
--- a/crates/stackpier-scheduler/src/saving.rs
+++ b/crates/stackpier-scheduler/src/saving.rs
@@ -91,21 +91,21 @@
 
     /// trim replaces the records of finished jobs by an empty record. Their state is stored
     /// under another key, and a job that is submitted again is still recognised.
-    async fn trim(&self, fence: u64, owned: u64, save: &Save) -> bool {
+    async fn trim(&self, fence: u64, owner_revision: u64, save: &Save) -> bool {
         if save.trimmed.is_empty() {
             return true;
         }
         let rest = Record::trimmed();
         let puts = save.trimmed.iter().map(|job| put(keys::job(*job), &rest));
         let transaction = Transaction {
-            conditions: vec![owner_condition(owned)],
+            conditions: vec![owner_condition(owner_revision)],
             puts: puts.collect(),
             removals: Vec::new(),
         };
         match self.store_commit(&transaction).await {
             Committed::Done(_) => true,
             Committed::Conflict(items) => {
-                self.depose_if_replaced(fence, owned, &items);
+                self.depose_if_replaced(fence, owner_revision, &items);
                 false
             }
             Committed::Refused | Committed::Unknown => false,
@@ -156,15 +156,15 @@
     async fn write_group(
         &self,
         fence: u64,
-        owned: u64,
+        owner_revision: u64,
         revisions: &Rc<RefCell<Revisions>>,
         group: &[Put],
     ) -> bool {
         let write = |chunk: &[Put]| {
             let (node, revisions, chunk) = (self.clone(), Rc::clone(revisions), chunk.to_vec());
-            tokio::task::spawn_local(
-                async move { node.write(fence, owned, &revisions, &chunk).await },
-            )
+            tokio::task::spawn_local(async move {
+                node.write(fence, owner_revision, &revisions, &chunk).await
+            })
         };
         let writes: Vec<_> = group.chunks(MAX_PUTS).map(write).collect();
         let mut done = true;
@@ -179,12 +179,12 @@
     async fn write(
         &self,
         fence: u64,
-        owned: u64,
+        owner_revision: u64,
         revisions: &RefCell<Revisions>,
         puts: &[Put],
     ) -> bool {
         for _ in 0..MAX_TRIES {
-            let transaction = transaction(owned, &revisions.borrow(), puts);
+            let transaction = transaction(owner_revision, &revisions.borrow(), puts);
             match self.store_commit(&transaction).await {
                 Committed::Done(at) => {
                     let mut revisions = revisions.borrow_mut();
@@ -192,7 +192,7 @@
                     return true;
                 }
                 Committed::Conflict(items) => {
-                    if self.depose_if_replaced(fence, owned, &items) {
+                    if self.depose_if_replaced(fence, owner_revision, &items) {
                         return false;
                     }
                     update_revisions(&mut revisions.borrow_mut(), puts, &items);
@@ -206,9 +206,9 @@
 
     /// depose_if_replaced gives up the cell if a conflict shows another owner, and reports
     /// whether it does.
-    fn depose_if_replaced(&self, fence: u64, owned: u64, items: &[Item]) -> bool {
+    fn depose_if_replaced(&self, fence: u64, owner_revision: u64, items: &[Item]) -> bool {
         let owner = items.iter().find(|item| item.key == OWNER);
-        if owner.is_some_and(|item| item.revision == owned) {
+        if owner.is_some_and(|item| item.revision == owner_revision) {
             return false;
         }
         if let Some(item) = owner {
@@ -218,7 +218,7 @@
         true
     }
 
-    async fn forget(&self, fence: u64, owned: u64, save: &Save) -> bool {
+    async fn forget(&self, fence: u64, owner_revision: u64, save: &Save) -> bool {
         if save.forgotten.is_empty() {
             return true;
         }
@@ -229,14 +229,14 @@
         // One of the 32 entries is needed for the condition on the ownership.
         for chunk in removals.chunks(2 * MAX_PUTS) {
             let transaction = Transaction {
-                conditions: vec![owner_condition(owned)],
+                conditions: vec![owner_condition(owner_revision)],
                 puts: Vec::new(),
                 removals: chunk.to_vec(),
             };
             match self.store_commit(&transaction).await {
                 Committed::Done(_) => {}
                 Committed::Conflict(items) => {
-                    self.depose_if_replaced(fence, owned, &items);
+                    self.depose_if_replaced(fence, owner_revision, &items);
                     return false;
                 }
                 Committed::Refused | Committed::Unknown => return false,
@@ -268,12 +268,12 @@
     }
 }
 
-fn transaction(owned: u64, revisions: &Revisions, puts: &[Put]) -> Transaction {
+fn transaction(owner_revision: u64, revisions: &Revisions, puts: &[Put]) -> Transaction {
     let condition = |put: &Put| Condition {
         key: put.key.clone(),
         revision: revisions.revision_of(&put.key),
     };
-    let mut conditions = vec![owner_condition(owned)];
+    let mut conditions = vec![owner_condition(owner_revision)];
     conditions.extend(puts.iter().map(condition));
     Transaction {
         conditions,
--- a/crates/stackpier-scheduler/src/settings.rs
+++ b/crates/stackpier-scheduler/src/settings.rs
@@ -82,7 +82,7 @@
     link_mbps: f64,
     #[serde(default = "usual_beat_ms")]
     worker_heartbeat_ms: u64,
-    /// Mechanisms of the scheduling decisions that are disabled.
+    /// Mechanisms of the scheduling decisions that are switched off.
     #[serde(default)]
     without: Vec<String>,
 }
--- a/crates/stackpier-scheduler/tests/silence.rs
+++ b/crates/stackpier-scheduler/tests/silence.rs
@@ -209,7 +209,7 @@
     })
 }
 
-/// Guards against a time-out that closes a connection opened after the others went silent.
+/// Guards against a timeout that closes a connection opened after the others went silent.
 #[test]
 fn connections_that_answered_after_the_silence_are_kept() -> Result<()> {
     run_local(async {
@@ -221,7 +221,7 @@
             let (client, address) = (client.clone(), address.clone());
             async move { client.call(&address, call()).await }
         });
-        // The answer to the next call arrives shortly before or after the silent call's time-out.
+        // The answer to the next call arrives shortly before or after the silent call's timeout.
         sleep(LIMIT - WORK - WORK / 2).await;
         client.call(&address, call()).await?;
         assert!(silent.await?.is_err());
@@ -280,7 +280,7 @@
             .call(&address, &link::Request::Store, PREPARE_LIMIT)
             .await?;
         proxy.silence();
-        // The fifth call is sent after the first one's time-out and before the others'.
+        // The fifth call is sent after the first one's timeout and before the others'.
         let calls = [1, 2, 3, 4, 10].map(|times| {
             let (links, address) = (links.clone(), address.clone());
             spawn_local(async move {
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -8,8 +8,8 @@
     wait,
 };
 
-/// run starts three daemons in two data centres, submits a service and a
-/// batch job, calls the service through each daemon, and kills one.
+/// run starts two data centres with two daemons each, submits a service and a batch job, calls
+/// the service through each daemon, kills one daemon, and calls the service through the others.
 pub fn run() -> Result<()> {
     println!("starting: 1 platform, 2 data centres with 2 daemons and 2 workers each");
     let mut cluster = Cluster::start(Plan {
