--- a/crates/stackpier-scheduler/src/jobs.rs
+++ b/crates/stackpier-scheduler/src/jobs.rs
@@ -403,7 +403,7 @@
 }
 
 /// unreadable builds the error for a job's entry in the store that can't be decoded. The request
-/// itself is valid, so the client account is asked to try again.
+/// itself is valid, so the answer tells the client account when to try again.
 fn unreadable(kind: Kind, error: &Error) -> Error {
     let why = format!(
         "the entry of the job in the store is not readable: {}",
--- a/crates/stackpier-scheduler/src/keys.rs
+++ b/crates/stackpier-scheduler/src/keys.rs
@@ -16,7 +16,7 @@
 pub(crate) const PROGRESS: &str = "progress/";
 /// ROSTER is the key of the roster: the workers that may run something for the cell.
 pub(crate) const ROSTER: &str = "roster";
-/// MEMORY is the key of the saved model: what the owners learned of pairs of images and of the
+/// MEMORY is the key of the saved model: what the owners learnt of pairs of images and of the
 /// load of serving tasks.
 pub(crate) const MEMORY: &str = "memory";
 /// MAINTENANCE is the key of the state of the maintenance plans.
--- a/crates/stackpier-scheduler/src/monitor.rs
+++ b/crates/stackpier-scheduler/src/monitor.rs
@@ -172,7 +172,7 @@
 
     /// unloaded returns the ownership if the store shows it as this daemon's but the cell
     /// was not loaded. This happens when the answer to the swap was lost and the daemon
-    /// learned of its success later.
+    /// learnt of its success later.
     fn unloaded(&self) -> Option<Owned> {
         let owned = self.owned.borrow().clone()?;
         let ownership = &owned.ownership;
@@ -243,7 +243,7 @@
 
     /// is_owner_gone reports whether the owner's process has ended: a new process has
     /// registered on the owner's VM since. An entry that is older than the ownership proves
-    /// nothing, as the two can be learned of in either order.
+    /// nothing, as a daemon may read the two from the store in either order.
     fn is_owner_gone(&self, owned: &Owned) -> bool {
         let members = self.node.members.borrow();
         let entry = members.get(&owned.ownership.vm);
--- a/crates/stackpier-scheduler/src/owner.rs
+++ b/crates/stackpier-scheduler/src/owner.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// check_confirmation compares the revision of the ownership, read from the store at
+    /// check_confirmation compares the revision of the ownership, requested from the store at
     /// `sent`, with the one that this daemon wrote. Any other revision belongs to another
     /// owner, even if its value can't be decoded.
     fn check_confirmation(&self, fence: u64, revision: u64, sent: Millis) {
