--- a/crates/stackpier-scheduler/src/jobs.rs
+++ b/crates/stackpier-scheduler/src/jobs.rs
@@ -96,12 +96,7 @@
                     }
                 }
                 Committed::Refused if unconfirmed => pause(RETRY_MS).await,
-                Committed::Refused => {
-                    return Err(refusal(
-                        "the write did not reach the store or was refused",
-                        false,
-                    ));
-                }
+                Committed::Refused => return Err(refusal("the write was not done", false)),
                 Committed::Unknown => unconfirmed = true,
             }
         }
