--- a/crates/stackpier-cell/src/advice.rs
+++ b/crates/stackpier-cell/src/advice.rs
@@ -13,9 +13,9 @@
     place::Demand,
 };
 
-/// MAX_ASKED is how many workers one request names at most: the platform allows
+/// MAX_NAMED is how many workers one request names at most: the platform allows
 /// 100, and each costs the adviser time.
-const MAX_ASKED: usize = 40;
+const MAX_NAMED: usize = 40;
 /// MARGIN_MS is how long a ticket must still be valid when a start is sent.
 const MARGIN_MS: u64 = 300;
 /// RETRY_MS is the pause before the next request if the adviser did not answer, or
@@ -26,8 +26,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Advice {
     tickets: BTreeMap<WorkerKey, Ticket>,
-    /// When advice on each worker was last requested.
-    asked: BTreeMap<WorkerKey, Millis>,
+    /// When a request last named each worker.
+    named: BTreeMap<WorkerKey, Millis>,
     /// Whether a request awaits its answer.
     awaits_answer: bool,
     /// No request is sent before this time.
@@ -64,11 +64,11 @@
         if advice.is_some_and(|advice| advice.awaits_answer || now < advice.not_before) {
             return;
         }
-        let workers = self.unasked_workers(demand);
+        let workers = self.find_workers_to_name(demand);
         if workers.is_empty() {
             // All were named: start over, as tickets and free capacity change.
             if let Some(advice) = self.step_mut(demand.step).advice.as_deref_mut() {
-                advice.asked.clear();
+                advice.named.clear();
                 advice.not_before = now.plus(RETRY_MS);
             }
             return;
@@ -84,17 +84,17 @@
         let advice = self.step_mut(demand.step).advice.get_or_insert_default();
         advice.awaits_answer = true;
         advice
-            .asked
+            .named
             .extend(workers.into_iter().map(|worker| (worker, now)));
         self.effects.push(Effect::RequestAdvice(request));
     }
 
-    /// unasked_workers returns the best workers that could take a step's tasks and
+    /// find_workers_to_name returns the best workers that could take a step's tasks and
     /// that no recent request has named.
-    fn unasked_workers(&self, demand: &Demand) -> Vec<WorkerKey> {
+    fn find_workers_to_name(&self, demand: &Demand) -> Vec<WorkerKey> {
         let advice = self.step_of(demand.step).advice.as_deref();
-        let was_asked =
-            |worker: &WorkerKey| advice.is_some_and(|advice| advice.asked.contains_key(worker));
+        let was_named =
+            |worker: &WorkerKey| advice.is_some_and(|advice| advice.named.contains_key(worker));
         let without_advice = Demand {
             advised: false,
             ..*demand
@@ -103,8 +103,8 @@
         candidates.reverse();
         let workers = candidates.into_iter().map(|candidate| candidate.worker);
         workers
-            .filter(|worker| !was_asked(worker))
-            .take(MAX_ASKED)
+            .filter(|worker| !was_named(worker))
+            .take(MAX_NAMED)
             .collect()
     }
 
@@ -117,15 +117,15 @@
         };
         advice.awaits_answer = false;
         let Some(answer) = answer else {
-            advice.asked.clear();
+            advice.named.clear();
             advice.not_before = now.plus(RETRY_MS);
             return;
         };
         let expires_at = now.plus(answer.valid_ms);
         for (id, text) in answer.good {
             // An incarnation that began since the request is not the one it named.
-            let asked = |worker: &&WorkerKey| advice.asked.contains_key(worker);
-            if let Some(worker) = keys.get(&id).filter(asked) {
+            let named = |worker: &&WorkerKey| advice.named.contains_key(worker);
+            if let Some(worker) = keys.get(&id).filter(named) {
                 advice.tickets.insert(*worker, Ticket { text, expires_at });
             }
         }
--- a/crates/stackpier-cell/src/dedicated.rs
+++ b/crates/stackpier-cell/src/dedicated.rs
@@ -21,8 +21,8 @@
     worker::{Presence, Worker},
 };
 
-/// MIN_WAIT_MS is how long a short task waits before it counts as one that does not fit: tasks
-/// that run for half a second free capacity all the time.
+/// MIN_WAIT_MS is how long a short task waits before it counts as one that does not fit. Many
+/// fit sooner, as tasks that run for half a second free capacity all the time.
 const MIN_WAIT_MS: u64 = 200;
 /// MAX_IDLE_MS is how long a worker stays dedicated while no short task runs on it.
 const MAX_IDLE_MS: u64 = 2_500;
@@ -160,8 +160,9 @@
             && !matches!(self.rank_of(key), Rank::Expired(_))
     }
 
-    /// dedicate dedicates as many workers as a shortage asks for, within the limit. Workers on
-    /// which the least has to stay come first.
+    /// dedicate dedicates as many workers as a shortage asks for, within the limit. Those come
+    /// first on which the fewest processors are used by long-running tasks that can't be
+    /// preempted now.
     fn dedicate(&mut self, shortage: &Shortage) {
         let largest = self.largest_worker_milli().max(1);
         let wanted = shortage.milli_cores.div_ceil(largest) as usize;
--- a/crates/stackpier-cell/src/drain.rs
+++ b/crates/stackpier-cell/src/drain.rs
@@ -8,8 +8,8 @@
     worker::Presence,
 };
 
-/// LEAVE_MARGIN_MS is how long before a draining worker may leave its runs
-/// must have ended: a stop takes up to 900 ms.
+/// LEAVE_MARGIN_MS is the time that must be left between the end of the last run on
+/// a draining worker and its departure: a stop takes up to 900 ms.
 const LEAVE_MARGIN_MS: u64 = 1_100;
 /// LEAVE_MS is how long a draining worker is assumed to stay if its entry does not
 /// say: the minimum that the platform guarantees.
@@ -31,7 +31,7 @@
     }
 
     /// check_leaving stops a run on a draining worker, unless it is expected to end
-    /// before that.
+    /// before the worker leaves.
     fn check_leaving(&mut self, worker: WorkerKey, key: RunKey) {
         let now = self.now.mono;
         let entry = self.worker(worker);
--- a/crates/stackpier-cell/src/evacuation.rs
+++ b/crates/stackpier-cell/src/evacuation.rs
@@ -2,12 +2,12 @@
 //! Evacuations: workers that are cleared of serving tasks while many best-effort tasks wait.
 //!
 //! Where most best-effort images disturb most serving images, a start does too much harm on any
-//! worker with serving tasks, and rating one start at a time finds no place. A worker without
-//! serving tasks can take all of them. So while enough best-effort tasks wait to occupy a whole
-//! worker, the workers with the fewest serving tasks are evacuated, a few at a time: these
-//! tasks move to other workers on which they fit, as far as their steps allow it (`may_miss`).
-//! This gains 0.013 of the goodput where most pairs disturb each other heavily, and 0.005
-//! elsewhere.
+//! worker with serving tasks, and rating starts one by one finds no worker for them. A worker
+//! without serving tasks can take all of them. So while enough best-effort tasks wait to occupy a
+//! whole worker, the workers with the fewest processors allocated to long-running tasks are
+//! evacuated, a few at a time: these tasks move to other workers on which they fit, as far as
+//! their steps allow it (`may_miss`). This gains 0.013 of the goodput where most pairs disturb
+//! each other heavily, and 0.005 elsewhere.
 
 use stackpier_core::{Millis, Size};
 
--- a/crates/stackpier-cell/src/interference.rs
+++ b/crates/stackpier-cell/src/interference.rs
@@ -141,10 +141,10 @@
         serving: ImageKey,
         load: f64,
         own_load: Estimate,
-        beside: &[Pressure],
+        pressures: &[Pressure],
     ) {
-        let beside = sum_by_image(beside);
-        let added = self.added_load(serving, &beside);
+        let pressures = sum_by_image(pressures);
+        let added = self.added_load(serving, &pressures);
         let residual = load - own_load.mean - added.mean;
         if load >= SATURATED_LOAD && residual <= 0.0 {
             // The actual load may be higher, so the sample does not show that the pressures add
@@ -152,7 +152,7 @@
             return;
         }
         let total = self.options.noise + own_load.variance + added.variance;
-        for pressure in &beside {
+        for pressure in &pressures {
             let old = self.pair(serving, pressure.image);
             let gain = old.variance * pressure.cores / total;
             // Negative means are kept: cut off at zero, the errors of the many pairs without an
--- a/crates/stackpier-cell/src/learn.rs
+++ b/crates/stackpier-cell/src/learn.rs
@@ -60,24 +60,24 @@
         if serving.is_empty() {
             return;
         }
-        let beside = self.pressures(worker);
+        let pressures = self.pressures(worker);
         let steady = self.has_steady_pressure(worker);
         for key in serving {
-            let Some(sample) = self.take_sample(key, &beside) else {
+            let Some(sample) = self.take_sample(key, &pressures) else {
                 continue;
             };
             if self.is_enabled(Mechanism::Deviation) {
                 self.update_deviation(key, &sample);
             }
             if steady && self.is_enabled(Mechanism::Learning) {
-                self.update_model(key, &sample, &beside);
+                self.update_model(key, &sample, &pressures);
             }
         }
     }
 
     /// take_sample returns a sample from a task's last report, if the task has been measured
     /// for long enough.
-    fn take_sample(&self, key: RunKey, beside: &[Pressure]) -> Option<Sample> {
+    fn take_sample(&self, key: RunKey, pressures: &[Pressure]) -> Option<Sample> {
         let now = self.now.mono;
         let at = Millis(now.0.saturating_sub(SAMPLE_AGE_MS));
         let run = self.runs.get(key)?;
@@ -87,7 +87,7 @@
             at,
             load,
             own_load: curve.expect(&self.cycle, at),
-            added: self.model.added_load(run.image, beside),
+            added: self.model.added_load(run.image, pressures),
         })
     }
 
@@ -106,13 +106,13 @@
     }
 
     /// update_model corrects the coefficients of the task's image, and its step's load curve.
-    fn update_model(&mut self, key: RunKey, sample: &Sample, beside: &[Pressure]) {
+    fn update_model(&mut self, key: RunKey, sample: &Sample, pressures: &[Pressure]) {
         let Some(run) = self.runs.get(key) else {
             return;
         };
-        if !beside.is_empty() {
+        if !pressures.is_empty() {
             self.model
-                .observe(run.image, sample.load, sample.own_load, beside);
+                .observe(run.image, sample.load, sample.own_load, pressures);
         }
         if sample.load < SATURATED_LOAD
             && let Some(curve) = &mut self.steps[run.step.0 as usize].curve
--- a/crates/stackpier-cell/src/maintenance.rs
+++ b/crates/stackpier-cell/src/maintenance.rs
@@ -39,7 +39,7 @@
     pub hosts: Vec<String>,
     /// The time within which each host must have been down once, in milliseconds.
     pub within_ms: u64,
-    /// The most hosts of the plan that may be down at once.
+    /// The maximum number of hosts of the plan that may be down at once.
     pub max_down: u32,
 }
 
--- a/crates/stackpier-cell/src/maintenance/rollout.rs
+++ b/crates/stackpier-cell/src/maintenance/rollout.rs
@@ -10,9 +10,10 @@
 /// HOST_CYCLE_MS is the time from the first stop on a host until its new worker
 /// works: one to two seconds to empty it, two down, and the start.
 const HOST_CYCLE_MS: u64 = 4_000;
-/// LEAD_MS is how long before a host can be ordered down emptying it begins, as that
-/// takes about a second. A host is down for two seconds, so emptying the next one
-/// begins this long after it went down.
+/// LEAD_MS is about how long it takes to empty a host. Emptying begins this long
+/// before the host may be ordered down. As a host is down for two seconds, emptying
+/// the next one begins this long after it went down: that one is then empty when
+/// the first returns.
 pub(super) const LEAD_MS: u64 = 1_000;
 /// HEADROOM is the factor by which more hosts are out of service at once than the
 /// time left requires, as some wait for others.
--- a/crates/stackpier-cell/src/obstacle.rs
+++ b/crates/stackpier-cell/src/obstacle.rs
@@ -27,7 +27,8 @@
     Unusable,
     /// The worker runs serving tasks, and best-effort tasks may not run beside them.
     Apart,
-    /// The worker lacks free processors, memory or accelerators.
+    /// The worker lacks processors, memory or accelerators that are neither allocated nor
+    /// reserved for another step.
     Full,
     /// The worker's free capacity is kept for short tasks: memory that best-effort
     /// tasks must leave free, or a dedicated worker.
--- a/crates/stackpier-cell/src/options.rs
+++ b/crates/stackpier-cell/src/options.rs
@@ -57,8 +57,8 @@
     /// that the start of a best-effort task may cause.
     pub max_harm: f64,
     /// The same for a task whose job has a slack of more than half of its longest
-    /// remaining chain of work: it can wait for a better worker at no cost. It also
-    /// applies to jobs that miss their deadline.
+    /// remaining chain of work: it can wait for a better worker at no cost. The limit
+    /// also applies to jobs that miss their deadline.
     pub max_harm_with_slack: f64,
     /// How much run time of a best-effort task without checkpoints may be lost by
     /// moving it.
--- a/crates/stackpier-cell/src/order.rs
+++ b/crates/stackpier-cell/src/order.rs
@@ -140,8 +140,9 @@
         }
     }
 
-    /// stop marks a run as stopping, and sends the order unless it is on its way, has been
-    /// accepted, or waits for its retry. It is called again until the run has ended.
+    /// stop marks a run as stopping. It sends the order, unless one is on its way, has been
+    /// accepted or waits for its retry, the worker is gone, or this owner lacks the authority.
+    /// It is called again until the run has ended.
     pub(crate) fn stop(&mut self, key: RunKey) {
         let now = self.now.mono;
         let authority = self.has_authority();
--- a/crates/stackpier-cell/src/pace.rs
+++ b/crates/stackpier-cell/src/pace.rs
@@ -210,8 +210,8 @@
         self.effects.push(Effect::Pace(Pace { order, percent }));
     }
 
-    /// mark_pace_unconfirmed has the assumed pace of a run ordered again with the next report,
-    /// as the predecessor may have paused it.
+    /// mark_pace_unconfirmed marks the assumed pace of a run as unconfirmed, so that it is
+    /// ordered with the next report: the predecessor may have paused the run.
     pub(crate) fn mark_pace_unconfirmed(&mut self, key: RunKey) {
         let now = self.now.mono;
         if let Some(run) = self.runs.get_mut(key) {
--- a/crates/stackpier-cell/src/place.rs
+++ b/crates/stackpier-cell/src/place.rs
@@ -182,8 +182,8 @@
         }
     }
 
-    /// has_nothing_to_place reports whether a step has nothing to place: its job may have ended
-    /// since the pass began.
+    /// has_nothing_to_place reports whether a step has no ready tasks, or its job has ended,
+    /// which may be since the pass began.
     fn has_nothing_to_place(&self, step: StepKey) -> bool {
         let entry = self.step_of(step);
         entry.ready.is_empty() || self.job(entry.job).state.is_final()
@@ -258,8 +258,8 @@
     }
 
     /// pick_worker returns the best worker for a task of a step. Tasks that never failed and are
-    /// not suspected of crashes are interchangeable and take the best of `candidates`, the
-    /// workers rated once for the step. For any other task the workers are rated anew.
+    /// not suspected of crashing workers are interchangeable and take the best of `candidates`,
+    /// the workers rated once for the step. For any other task the workers are rated again.
     fn pick_worker(
         &self,
         task: TaskKey,
@@ -287,8 +287,8 @@
         None
     }
 
-    /// find_worker returns the best worker for one task. A task that is suspected of crashes
-    /// goes only to a worker that has just answered.
+    /// find_worker returns the best worker for one task. A task that is suspected of crashing
+    /// workers goes only to a worker that has just answered.
     pub(crate) fn find_worker(&self, task: TaskKey, demand: &Demand) -> Option<WorkerKey> {
         let mut candidates = self.candidates_for(task, demand);
         if self.task(task).suspect.is_some() {
@@ -299,7 +299,7 @@
     }
 
     /// find_worker_unverified returns the best worker for one task, even if the task is
-    /// suspected of crashes and the worker has not just answered.
+    /// suspected of crashing workers and the worker has not just answered.
     pub(crate) fn find_worker_unverified(
         &self,
         task: TaskKey,
--- a/crates/stackpier-cell/src/place/candidate.rs
+++ b/crates/stackpier-cell/src/place/candidate.rs
@@ -18,7 +18,7 @@
 /// the rack of its data.
 const RACK_WAIT_MARGIN_MS: u64 = 300;
 /// SAME_IMAGE_SCORE favours a worker that serves only the image of a long-running task. It is
-/// higher than any number of tasks on a worker.
+/// higher than the score of any worker with several images, which is a number of tasks.
 const SAME_IMAGE_SCORE: f64 = 200.0;
 /// EMPTY_SCORE favours a worker that serves nothing over one that serves other images.
 const EMPTY_SCORE: f64 = 100.0;
@@ -86,6 +86,7 @@
     pub same_rack: bool,
     /// The maximum number of tasks of the step on one worker.
     pub max_per_worker: u32,
+    /// Whether a worker needs the step's label.
     pub labelled: bool,
     /// Whether a worker needs a ticket from the adviser.
     pub advised: bool,
@@ -145,9 +146,9 @@
         )
     }
 
-    /// requires_at_least reports whether a worker that is unsuitable for the best-effort tasks
-    /// of an earlier demand is unsuitable for these, too.
-    pub(super) fn requires_at_least(&self, earlier: &Demand) -> bool {
+    /// is_ruled_out_by reports whether any worker that is unsuitable for the best-effort tasks of
+    /// an earlier demand is unsuitable for these, too: they require at least as much.
+    pub(super) fn is_ruled_out_by(&self, earlier: &Demand) -> bool {
         self.requests_at_least(earlier)
             && self.image == earlier.image
             && self.max_harm <= earlier.max_harm
--- a/crates/stackpier-cell/src/place/pass.rs
+++ b/crates/stackpier-cell/src/place/pass.rs
@@ -48,8 +48,8 @@
         demand.priority >= self.priority && !(demand.long_running && older)
     }
 
-    /// covers reports whether tasks find no free capacity either: they require at least as
-    /// much, may use no other workers, and are kept out by the same reservations.
+    /// covers reports whether the tasks of a demand find no free capacity either: they require
+    /// at least as much, may use no other workers, and are kept out by the same reservations.
     fn covers(&self, demand: &Demand, has_reservations: bool) -> bool {
         self.service == demand.service
             && self.size.fits(&demand.size)
@@ -134,7 +134,8 @@
         }
     }
 
-    /// rules_out reports whether no worker has free capacity for tasks, as far as the pass knows.
+    /// rules_out reports whether no worker has free capacity for the tasks of a demand, as far as
+    /// the pass knows.
     fn rules_out(&self, demand: &Demand) -> bool {
         let headroom = self
             .headroom
@@ -356,7 +357,7 @@
                 .best_effort_pass
                 .rejected
                 .iter()
-                .any(|earlier| demand.requires_at_least(earlier))
+                .any(|earlier| demand.is_ruled_out_by(earlier))
             && self.place_step(&demand) == Outcome::NoWorker
             && demand.needs_only_capacity()
         {
--- a/crates/stackpier-cell/src/place/starvation.rs
+++ b/crates/stackpier-cell/src/place/starvation.rs
@@ -19,11 +19,12 @@
 use super::{Demand, Outcome};
 
 /// STARVED_MS is how long a ready step may have nothing running while half of its service is
-/// unused: client accounts count a job as lost from three seconds on.
+/// unused, and a long-running one at any load: client accounts count a job as lost from three
+/// seconds on.
 const STARVED_MS: u64 = 2_000;
-/// LOADED_STARVED_MS is the same limit while more than half is in use. Capacity comes and goes
-/// then, and a start regardless of the limits harms other tasks: two seconds here, too, cost
-/// 0.01 to 0.02 of the goodput.
+/// LOADED_STARVED_MS is the same limit for other steps while more than half is in use. Capacity
+/// comes and goes then, and a start regardless of the limits harms other tasks: two seconds here,
+/// too, cost 0.01 to 0.02 of the goodput.
 const LOADED_STARVED_MS: u64 = 20_000;
 /// SETTLE_MS is the shortest time between two such starts on a worker. Reports cover the last
 /// half second, so the effect of one start is seen before the next.
--- a/crates/stackpier-cell/src/prediction.rs
+++ b/crates/stackpier-cell/src/prediction.rs
@@ -20,7 +20,7 @@
 /// MAX_FORECAST_AGE_MS is how long the forecast of a step's own load is reused.
 const MAX_FORECAST_AGE_MS: u64 = 100;
 /// DEVIATION_DECAY is the part of a task's deviation from its step's load that remains at each
-/// of these times.
+/// of HORIZONS_MS.
 const DEVIATION_DECAY: [f64; HORIZON_COUNT] = [0.6, 0.15, 0.0];
 /// DEVIATION_VARIANCE is the variance of a task's load around its step's, from samples of
 /// client traffic.
@@ -66,7 +66,7 @@
 }
 
 impl Cell {
-    /// update_predictions predicts the loads of a worker's serving tasks anew.
+    /// update_predictions recomputes the predictions for a worker's serving tasks.
     pub(crate) fn update_predictions(&mut self, key: WorkerKey) {
         let serving = self.serving_runs(key);
         let pressures = self.pressures(key);
--- a/crates/stackpier-cell/src/rotation.rs
+++ b/crates/stackpier-cell/src/rotation.rs
@@ -23,8 +23,8 @@
 const REPLACE_ANY_AFTER_MS: u64 = 5_000;
 /// MAX_WAITING is how many waiting tasks are considered at a time.
 const MAX_WAITING: usize = 32;
-/// MIN_RUN_MS is how long a long-running task runs at least before it is preempted: it may have
-/// been preempted before.
+/// MIN_RUN_MS is how long a long-running task runs at least before it is preempted, as it may
+/// have been preempted before.
 pub(crate) const MIN_RUN_MS: u64 = 6_000;
 
 /// Waiting is a long-running task that waits for capacity.
--- a/crates/stackpier-cell/src/speculate.rs
+++ b/crates/stackpier-cell/src/speculate.rs
@@ -105,10 +105,10 @@
         (late && lags && self.is_current(run)).then_some(run.task)
     }
 
-    /// is_current reports whether no successor can have recorded the end of a run longer than
-    /// [`MAX_CONFIRMATION_AGE_MS`] ago: within that time the run's worker answered this owner, so
-    /// no successor had contacted it, or the store confirmed the ownership. A run whose end this
-    /// owner did not learn of would seem to lag.
+    /// is_current reports whether what this owner knows of a run is recent: less than
+    /// [`MAX_CONFIRMATION_AGE_MS`] ago the run's worker answered it, so no successor had contacted
+    /// that worker, or the store confirmed the ownership. Otherwise a successor may have recorded
+    /// the run's end some time ago, and the run would seem to lag.
     pub(crate) fn is_current(&self, run: &Run) -> bool {
         let answered = self.worker(run.worker).clock.map(|clock| clock.at);
         let last_proof = answered.map_or(self.ownership.confirmed, |at| {
