--- a/crates/stackpier-cell/src/cell.rs
+++ b/crates/stackpier-cell/src/cell.rs
@@ -186,7 +186,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// state returns the state of a job that client accounts are shown, or `None` if the job is
+    /// state returns the state that client accounts are shown for a job, or `None` if the job is
     /// not known.
     pub fn state(&self, job: key::Job) -> Option<State> {
         let job = self.job(*self.job_keys.get(&job)?);
--- a/crates/stackpier-cell/src/crash.rs
+++ b/crates/stackpier-cell/src/crash.rs
@@ -42,9 +42,10 @@
 /// cause of a crash. Tasks that crash a process do so while they are loaded: the crashes observed
 /// took 10 ms, far less than a second, and a second is short compared with the work of most tasks.
 const CLEAR_AFTER_MS: u64 = 1_000;
-/// QUIET_MS is how long before and after the second start of a suspect no other run may begin on
-/// its worker. It is many times the time from a start to its crash, and short enough that the
-/// suspects of a whole rack hardly delay other starts.
+/// QUIET_MS is how long before and after the start of a suspect with one crash no other run may
+/// begin on its worker; after more crashes the rules are stricter. It is many times the time from a
+/// start to its crash, and short enough that the suspects of a whole rack hardly delay other
+/// starts.
 const QUIET_MS: u64 = 200;
 /// MIN_CRASHES is how many workers must have crashed under a task before it is given up. It is one
 /// more than operators ask for, because the first crash counts against the neighbours too.
@@ -108,9 +109,9 @@
         if !self.is_enabled(Mechanism::Suspects) {
             return;
         }
-        let others = self.fell_silent_before(key);
+        let others = self.find_lately_silent(key);
         for other in &others {
-            self.doubt_causes(*other);
+            self.unset_alone(*other);
         }
         let mut uncleared = self.uncleared_runs(key);
         uncleared.retain(|run| self.is_sent(*run));
@@ -152,9 +153,10 @@
         self.mark_dirty(self.step_of(self.task(task).step).job);
     }
 
-    /// doubt_causes withdraws `alone` from the suspects of a silent worker after another worker
-    /// fell silent at about the same time: a failure that both share may be the cause.
-    fn doubt_causes(&mut self, key: WorkerKey) {
+    /// unset_alone records for the suspects of a silent worker that something else may have caused
+    /// the crash, because another worker fell silent at about the same time: a failure that both
+    /// share may be the cause.
+    fn unset_alone(&mut self, key: WorkerKey) {
         let silent_worker = self.worker(key).incarnation();
         for task in self.suspects.clone() {
             let Some(suspect) = self.task_mut(task).suspect.as_mut() else {
@@ -232,14 +234,15 @@
     /// which enough workers have crashed.
     pub(crate) fn check_suspects(&mut self) {
         for task in std::mem::take(&mut self.suspects) {
-            if self.review(task) {
+            if self.review_suspect(task) {
                 self.suspects.push(task);
             }
         }
     }
 
-    /// review updates the evidence against a task and reports whether it is still under suspicion.
-    fn review(&mut self, task: TaskKey) -> bool {
+    /// review_suspect updates the evidence against a task, gives the task up if enough workers have
+    /// crashed under it, and reports whether it is still under suspicion.
+    fn review_suspect(&mut self, task: TaskKey) -> bool {
         if self.task(task).done || self.job_of(task).state.is_final() {
             self.task_mut(task).suspect = None;
             return false;
--- a/crates/stackpier-cell/src/crash/cause.rs
+++ b/crates/stackpier-cell/src/crash/cause.rs
@@ -30,10 +30,10 @@
         worker.runs.iter().filter(uncleared).copied().collect()
     }
 
-    /// fell_silent_before returns the other workers that fell silent shortly before, which points
+    /// find_lately_silent returns the other workers that fell silent shortly before, which points
     /// to the failure of a rack or a data centre rather than to a task. Incarnations that have
     /// ended are included, because the next incarnation of such a worker may already answer.
-    pub(super) fn fell_silent_before(&self, key: WorkerKey) -> Vec<WorkerKey> {
+    pub(super) fn find_lately_silent(&self, key: WorkerKey) -> Vec<WorkerKey> {
         let lately = |since: Millis| self.now.mono.since(since) < SHARED_FAILURE_MS;
         let others = self.incarnations().filter(|other| *other != key);
         let silent = |other: &WorkerKey| self.worker(*other).silent_since.is_some_and(lately);
--- a/crates/stackpier-cell/src/crash/record.rs
+++ b/crates/stackpier-cell/src/crash/record.rs
@@ -8,8 +8,8 @@
 //!
 //! This misses the first crash of a task, because its start was not yet isolated or saved. The
 //! successor then sees only a worker that does not answer and a task that runs nowhere, which looks
-//! the same as a task that was still waiting. None of these tasks becomes a suspect, but their next
-//! starts are recorded.
+//! the same as a task that was still waiting. Such a task does not become a
+//! suspect, but its next start is recorded.
 
 use stackpier_core::Incarnation;
 use stackpier_state::job;
--- a/crates/stackpier-cell/src/ends.rs
+++ b/crates/stackpier-cell/src/ends.rs
@@ -11,8 +11,8 @@
     worker::Worker,
 };
 
-/// LAST_FAILURES is the number of failures left before its job fails, at or below which a task
-/// is at first started only on workers that recently finished a run.
+/// LAST_FAILURES marks tasks that are close to failing their job: one that may fail only this many
+/// more times, or fewer, is at first started only on workers that recently finished a run.
 pub(crate) const LAST_FAILURES: u16 = 1;
 
 impl Cell {
@@ -128,8 +128,8 @@
         }
     }
 
-    /// log_repeat logs a task that two runs have done. For members of a gang and copies
-    /// this is expected.
+    /// log_repeat logs a task that two runs have done, except for members of a gang and tasks that
+    /// may have copies, where this is expected.
     fn log_repeat(&mut self, task: TaskKey, worker: WorkerKey, run: u32) {
         let spec = self.step_spec(self.task(task).step);
         let allowed = spec.gang || spec.speculative;
@@ -156,7 +156,7 @@
         members.map(TaskKey)
     }
 
-    /// complete_task marks a task as done and stops copies of it.
+    /// complete_task marks a task as done and stops its remaining runs.
     pub(crate) fn complete_task(&mut self, task: TaskKey) {
         if self.mark_done(task) {
             for copy in self.task(task).runs.clone() {
--- a/crates/stackpier-cell/src/handover.rs
+++ b/crates/stackpier-cell/src/handover.rs
@@ -58,7 +58,7 @@
     }
 
     /// merge_progress adds the progress that a predecessor had of a job, and returns how many
-    /// tasks it shows to be done.
+    /// tasks it shows to be done that were not known to be.
     fn merge_progress(&mut self, key: JobKey, progress: &Progress) -> usize {
         let job = self.job(key);
         let tasks = (job.first_task.0..job.first_task.0 + job.tasks).map(TaskKey);
--- a/crates/stackpier-cell/src/lifecycle.rs
+++ b/crates/stackpier-cell/src/lifecycle.rs
@@ -28,8 +28,8 @@
         cancelled: bool,
     ) {
         if record.fence > self.fence {
-            // The job was accepted under a successor, which starts its tasks. The watch that
-            // reports that owner is another one, and may be seconds late.
+            // The job was accepted under a successor, which starts its tasks. Another watch
+            // on the store reports a new owner, and it may be seconds late.
             self.depose();
             return;
         }
@@ -47,7 +47,7 @@
             self.restore(key, progress);
         }
         if !self.job(key).state.is_final() {
-            self.unblock(key);
+            self.release_unblocked(key);
         }
         if self.cancelled.remove(&id) || cancelled {
             self.cancel(id);
@@ -183,8 +183,9 @@
         }
     }
 
-    /// unblock releases all steps that wait for no other step.
-    fn unblock(&mut self, key: JobKey) {
+    /// release_unblocked releases all unfinished steps of a job that wait for no other
+    /// step.
+    fn release_unblocked(&mut self, key: JobKey) {
         let job = self.job(key);
         let count = job.spec.steps.len() as u32 * job.spec.rounds();
         let first = job.first_step.0;
@@ -195,7 +196,8 @@
         }
     }
 
-    /// release makes the tasks of a step ready, once the step is due.
+    /// release makes the tasks of a step ready. A step that is not due yet is kept in `not_due`
+    /// until then.
     pub(crate) fn release(&mut self, key: StepKey) {
         let due = self.step_of(key).due_unix_ms;
         if due > self.now.unix.0 + self.options.early_ms {
@@ -272,13 +274,13 @@
         let (job, step_done) = (entry.job, entry.left == 0);
         self.job_mut(job).left -= 1;
         if step_done {
-            self.release_after(step);
+            self.release_dependents(step);
         }
         true
     }
 
-    /// release_after releases the steps for which `done` was the last predecessor.
-    fn release_after(&mut self, done: StepKey) {
+    /// release_dependents releases the steps that waited only for the step `done`.
+    fn release_dependents(&mut self, done: StepKey) {
         let step = self.step_of(done);
         let (number, round) = (step.number, step.round);
         let job = self.job(step.job);
@@ -321,8 +323,8 @@
     }
 
     /// cancel ends a job that is not over yet. A cancellation may arrive before its job,
-    /// because messages of two daemons keep no order. It is then kept until the store, which
-    /// holds both, shows the job.
+    /// because messages of two daemons may arrive in any order. It is then kept until the store,
+    /// which holds both, shows the job.
     pub(crate) fn cancel(&mut self, id: key::Job) {
         let Some(key) = self.job_keys.get(&id).copied() else {
             self.cancelled.insert(id);
--- a/crates/stackpier-cell/src/renewal.rs
+++ b/crates/stackpier-cell/src/renewal.rs
@@ -24,18 +24,18 @@
 /// out and end a run.
 const SHORTEST_RUN_MS: u64 = 100;
 
-/// STORE_SILENT_MS is the time without an answer of the store after which the log shows what
-/// workers may forget. A busy owner gets an answer several times a second.
+/// STORE_SILENT_MS is the time without an answer of the store after which acknowledgements of ends
+/// to workers are logged. A busy owner gets an answer several times a second.
 const STORE_SILENT_MS: u64 = 700;
 
 impl Cell {
-    /// renew_now sends a renewal that the worker answers at once, unless one is on its way.
+    /// renew_now sends a renewal that the worker answers at once, unless one is in flight.
     pub(crate) fn renew_now(&mut self, key: WorkerKey) {
         self.renew(key, 0);
     }
 
     /// renew_with_wait sends a renewal that the worker may answer only when a run ends (a long
-    /// poll), unless one is on its way.
+    /// poll), unless one is in flight.
     pub(crate) fn renew_with_wait(&mut self, key: WorkerKey) {
         let runs = self.worker(key).runs.iter();
         let mut wait_ms = self.options.renewal_wait_ms;
@@ -58,12 +58,12 @@
         }
     }
 
-    /// send_renewal sends a renewal even if one is on its way, and reports whether it was sent.
+    /// send_renewal sends a renewal even if one is in flight, and reports whether it was sent.
     pub(crate) fn send_renewal(&mut self, key: WorkerKey, wait_ms: u64) -> bool {
         let (now, lease_ms) = (self.now.mono, self.options.lease_ms);
         let (fence, authority) = (self.fence, self.has_authority());
         let foreign = self.is_foreign(self.worker(key));
-        // While another renewal is on its way, this one acknowledges nothing: an answer does not
+        // While another renewal is in flight, this one acknowledges nothing: an answer does not
         // show which of the two has arrived.
         let acking = match self.worker(key).renewing {
             true => 0,
@@ -99,8 +99,8 @@
         true
     }
 
-    /// log_ack logs up to which end a worker may forget its ends, if the store has not answered
-    /// recently: these ends must have been saved by then.
+    /// log_ack logs up to which number a worker may forget its ends, if the store has not answered
+    /// for [`STORE_SILENT_MS`]: these ends must have been saved before.
     fn log_ack(&mut self, key: WorkerKey, number: u64) {
         let silent_ms = self.store_silent_ms();
         if number == 0 || silent_ms < STORE_SILENT_MS {
@@ -124,8 +124,12 @@
         let worker = self.worker(key);
         let now = self.now.mono;
         let is_recent = |clock: Clock| now.since(clock.at) < SHORTEST_RUN_MS;
-        let accepted_start =
-            |run: &Run| run.reported || run.confirmed.is_some_and(|at| at < worker.reported);
+        let accepted_start = |run: &Run| {
+            run.reported
+                || run
+                    .confirmed
+                    .is_some_and(|at| at < worker.report_requested_at)
+        };
         let mut runs = worker.runs.iter().filter_map(|key| self.runs.get(*key));
         let is_certain = worker.clock.is_some_and(is_recent) || runs.all(accepted_start);
         if worker.acked > worker.ack_confirmed && worker.is_responsive() && is_certain {
@@ -151,7 +155,7 @@
         }
         match outcome {
             // A later renewal was answered first.
-            Renewed::Report(_) if sent < self.worker(key).reported => {}
+            Renewed::Report(_) if sent < self.worker(key).report_requested_at => {}
             Renewed::Report(report) => self.apply_report(key, sent, report),
             Renewed::Fenced => self.depose(),
             Renewed::OtherLife => {
@@ -180,7 +184,7 @@
         let (now, retry_ms) = (self.now.mono, self.options.retry_ms);
         let worker = self.worker_mut(key);
         if worker.has_unacked_ends() {
-            // When the save on its way is done, it sends the next renewal.
+            // When the save in flight is done, it sends the next renewal.
             worker.renew_after = now.plus(retry_ms);
             return;
         }
--- a/crates/stackpier-cell/src/report.rs
+++ b/crates/stackpier-cell/src/report.rs
@@ -48,7 +48,7 @@
         worker.clock = Some(Clock { at, ms: clock_ms });
         // The report shows what runs there, so nothing has to be presumed.
         worker.presumed_ended = None;
-        worker.reported = sent;
+        worker.report_requested_at = sent;
         worker.final_renewal = None;
         worker.ack_confirmed = worker.ack_confirmed.max(worker.acking);
         if worker.silent_since.take().is_some() {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// update_inheritance records that a report arrived which shows a predecessor's runs, and
-    /// reports whether another report is needed at once.
+    /// update_inheritance records that a report has arrived, which may complete what is known of a
+    /// predecessor's runs and ends on a worker. It reports whether another one is needed at once.
     fn update_inheritance(&mut self, key: WorkerKey, sent: Millis, whole: bool) -> bool {
         let now = self.now.mono;
         let worker = self.worker_mut(key);
@@ -112,7 +112,8 @@
         self.log("worker", Some(name), text);
     }
 
-    /// check_adopted stops an adopted run that must not go on.
+    /// check_adopted logs a run that was adopted from a predecessor. It stops the run if its task or
+    /// job is over, or if the task has another run and allows no copies.
     fn check_adopted(&mut self, task: TaskKey, run: RunKey) {
         let others = self.task(task).runs.len() > 1;
         let copies = self.step_spec(self.task(task).step).speculative;
--- a/crates/stackpier-cell/src/restart.rs
+++ b/crates/stackpier-cell/src/restart.rs
@@ -47,8 +47,9 @@
 
 impl Cell {
     /// match_incarnation reports whether a report, requested at `sent`, is of the known
-    /// incarnation. A report of another incarnation only begins that one. Its contents are not
-    /// applied, because the request relied on the state of the earlier incarnation.
+    /// incarnation. A report of another incarnation only makes that one the current one. Its
+    /// contents are not applied, because the request relied on the state of the earlier
+    /// incarnation.
     pub(crate) fn match_incarnation(
         &mut self,
         key: WorkerKey,
@@ -114,7 +115,7 @@
         self.worker_keys.get(&self.worker(key).info.id) == Some(&key)
     }
 
-    /// begin_incarnation replaces an incarnation whose address now answers for another one.
+    /// begin_incarnation replaces an incarnation by another one that now answers at its address.
     fn begin_incarnation(&mut self, key: WorkerKey, started_at: Option<Unix>, clock_ms: u64) {
         self.log_misdirected_ack(key);
         let worker = self.worker_mut(key);
--- a/crates/stackpier-cell/src/roster.rs
+++ b/crates/stackpier-cell/src/roster.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The roster: workers that join, leave, and are given up.
+//! Workers that join, leave, or are given up, and their place in the roster.
 
 use stackpier_core::{Millis, Size, Unix};
 
@@ -121,7 +121,7 @@
             silent_since: None,
             received: Received::default(),
             acked: 0,
-            reported: Millis(0),
+            report_requested_at: Millis(0),
             ack_confirmed: 0,
             acking: 0,
             ack_after_save: 0,
@@ -304,7 +304,7 @@
         self.incarnations().filter(alive)
     }
 
-    /// collect_live_workers returns the same workers as a list, for loops that change them.
+    /// collect_live_workers returns the live workers as a list, for loops that change them.
     pub(crate) fn collect_live_workers(&self) -> Vec<WorkerKey> {
         self.live_workers().collect()
     }
--- a/crates/stackpier-cell/src/run.rs
+++ b/crates/stackpier-cell/src/run.rs
@@ -174,12 +174,13 @@
         size
     }
 
-    /// full_cores returns the processors it asked for.
+    /// full_cores returns the processors that the run asked for.
     pub(crate) fn full_cores(&self) -> f64 {
         cores(self.size.milli_cores)
     }
 
-    /// cores returns the processors it is assumed to use, at its pace.
+    /// cores returns the processors that the run is assumed to use: its share by its pace, but no
+    /// more than was last measured.
     pub(crate) fn cores(&self, now: Millis) -> f64 {
         let declared = self.full_cores() * f64::from(self.pace) / 100.0;
         match self.used_milli {
--- a/crates/stackpier-cell/src/save.rs
+++ b/crates/stackpier-cell/src/save.rs
@@ -22,6 +22,7 @@
 /// Saver tracks what must be saved and what is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Saver {
+    /// Jobs whose progress must be saved.
     dirty: Vec<JobKey>,
     /// Jobs to remove from the store.
     forgotten: Vec<JobKey>,
@@ -34,6 +35,7 @@
     /// The number of the last save that the store acknowledged.
     done: u64,
     in_flight: Option<InFlight>,
+    /// The earliest time of the next save.
     not_before: Millis,
     /// Whether the last save failed.
     failed: bool,
@@ -50,6 +52,7 @@
     state: State,
 }
 
+/// InFlight is a save that the store has not answered yet.
 #[derive(Debug)]
 struct InFlight {
     jobs: Vec<Sent>,
@@ -206,9 +209,9 @@
         due
     }
 
-    /// is_trimmable reports whether nothing of a job can run any more, even where this owner
-    /// can't see it: a successor could not stop it. Runs that only a predecessor knew, and
-    /// runs on workers that do not answer, end with their leases.
+    /// is_trimmable reports whether nothing of a job can run any more, even on workers that this
+    /// owner can't see: once the job is trimmed, a successor could not stop its runs. Runs that
+    /// only a predecessor knew, and runs on workers that do not answer, end with their leases.
     fn is_trimmable(&self, key: JobKey) -> bool {
         let job = self.job(key);
         let lease_ms = self.options.max_lease_ms + self.options.max_lease_ms / LEASE_MARGIN_DIVISOR;
@@ -222,6 +225,8 @@
         !job.forgotten && !job.dirty && tasks.all(|task| self.task(task).runs.is_empty())
     }
 
+    /// roster returns the workers that a successor must wait for, because they may run something
+    /// or list ends that the store lacks.
     fn roster(&self) -> Vec<WorkerKey> {
         let used = |worker: &Worker| match worker.presence {
             Presence::Contacted => !self.has_left(worker),
--- a/crates/stackpier-cell/src/silence.rs
+++ b/crates/stackpier-cell/src/silence.rs
@@ -2,8 +2,8 @@
 //! When the runs of a silent worker count as ended.
 //!
 //! They do once the lease of the worker has expired and a final renewal, sent shortly before that,
-//! got no answer. Without the final renewal, an earlier one might just have been lost while the
-//! worker stayed reachable: it may list tasks as done that would then be started again elsewhere.
+//! got no answer. Without the final renewal, one lost call would make a worker seem silent that
+//! is reachable, and tasks that it lists as done would be started again elsewhere.
 
 use stackpier_core::Millis;
 
--- a/crates/stackpier-cell/src/takeover.rs
+++ b/crates/stackpier-cell/src/takeover.rs
@@ -22,7 +22,7 @@
 };
 
 /// MARGIN_MS is added to the end of the leases of a predecessor, for the time that its last call
-/// may have been on its way.
+/// may have been in flight.
 const MARGIN_MS: u64 = 500;
 /// GAP_MS is the time between two confirmations from which on the store counts as having been
 /// unavailable: an idle owner asks every second, and an answer takes 0.6 s at most.
@@ -134,7 +134,7 @@
     }
 
     /// is_confirmed_lately reports whether the last confirmation is recent enough to rule out that
-    /// a successor contacted, some time ago, a worker that did not answer this one.
+    /// a successor contacted, some time ago, a worker that did not answer this owner.
     fn is_confirmed_lately(&self) -> bool {
         self.now.mono.since(self.ownership.confirmed) < MAX_CONFIRMATION_AGE_MS
     }
@@ -167,7 +167,8 @@
     }
 
     /// requeue_presumed_ended makes tasks ready again whose runs on a worker are presumed to have
-    /// ended, as far as no successor can know better.
+    /// ended, once the store has confirmed that no successor can know otherwise. A long-running
+    /// task of a dead worker does not wait for that.
     fn requeue_presumed_ended(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         let Some(time) = worker.presumed_ended else {
@@ -196,7 +197,8 @@
         }
     }
 
-    /// presume_task_ended records that the worker of a run may still report its end.
+    /// presume_task_ended records that the run of a task is presumed to have ended, though its
+    /// worker may still report the end.
     pub(crate) fn presume_task_ended(&mut self, run: RunKey) {
         let Some(task) = self.runs.get(run).map(|run| run.task) else {
             return;
@@ -207,7 +209,7 @@
         }
     }
 
-    /// requeue_all_presumed_ended does the same for all workers.
+    /// requeue_all_presumed_ended does what `requeue_presumed_ended` does, for all workers.
     pub(crate) fn requeue_all_presumed_ended(&mut self) {
         for key in self.incarnations() {
             self.requeue_presumed_ended(key);
@@ -301,7 +303,7 @@
         self.ownership.presumed_ended = presumed_ended;
     }
 
-    /// confirm_failed records that the store did not answer the question who owns the cell.
+    /// confirm_failed records that the store did not answer when asked who owns the cell.
     pub fn confirm_failed(&mut self) {
         self.ownership.confirming = false;
     }
--- a/crates/stackpier-cell/src/unanswered.rs
+++ b/crates/stackpier-cell/src/unanswered.rs
@@ -12,8 +12,8 @@
     arena::{RunKey, WorkerKey},
 };
 
-/// MAX_LATE_MS is how long after it was given up a start may still be carried out. Workers do so up
-/// to twelve seconds late.
+/// MAX_LATE_MS is how long a start may still be carried out after the owner stopped waiting for its
+/// answer. Workers do so up to twelve seconds late.
 const MAX_LATE_MS: u64 = 15_000;
 
 /// Unanswered is a start that got no answer.
--- a/crates/stackpier-cell/src/uncontacted.rs
+++ b/crates/stackpier-cell/src/uncontacted.rs
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Workers that a new owner has not contacted yet. The tasks of earlier jobs wait until each of
-//! these workers has answered twice.
+//! Workers that a new owner has not contacted yet. The tasks of earlier jobs, those accepted under
+//! a predecessor, wait until each of these workers has answered twice.
 //!
-//! A single lost answer delays all these tasks. Such a worker is therefore sent another renewal
-//! before the earlier one times out.
+//! A single lost answer would delay all these tasks. A worker that has not answered is therefore
+//! sent another renewal before the previous one times out.
 
 use crate::{Cell, arena::WorkerKey, worker::Worker};
 
--- a/crates/stackpier-cell/src/worker.rs
+++ b/crates/stackpier-cell/src/worker.rs
@@ -94,7 +94,7 @@
     pub unreadable: bool,
     /// Whether the store knows that it may run something.
     pub rostered: bool,
-    /// What a predecessor may have there that this one doesn't know.
+    /// What a predecessor may have left there that this owner doesn't know.
     pub inheritance: Inheritance,
     /// When its runs were presumed to have ended, if that rests on its silence alone and the
     /// store has not confirmed the ownership since.
@@ -126,7 +126,7 @@
     /// The number up to which it may forget ends.
     pub acked: u64,
     /// When the last report of this incarnation was requested.
-    pub reported: Millis,
+    pub report_requested_at: Millis,
     /// The number up to which it has confirmed an acknowledgement.
     pub ack_confirmed: u64,
     /// The number that the renewal in flight acknowledges, zero for none.
@@ -177,14 +177,15 @@
         self.received.has_above(self.acked)
     }
 
-    /// is_inherited reports whether a predecessor may have runs or ends there that this one
+    /// is_inherited reports whether a predecessor may have runs or ends there that this owner
     /// doesn't know.
     pub(crate) fn is_inherited(&self) -> bool {
         self.inheritance != Inheritance::None
     }
 
-    /// update_inheritance records that a report arrived which shows a predecessor's runs. It
-    /// reports whether another report is needed at once, because tasks wait for it.
+    /// update_inheritance records that a report requested at `sent` has arrived. After the first
+    /// report, a later complete one shows all that a predecessor left on the worker. It reports
+    /// whether another report is needed at once, because tasks wait for it.
     pub(crate) fn update_inheritance(&mut self, sent: Millis, now: Millis, whole: bool) -> bool {
         match self.inheritance {
             Inheritance::Unreported => self.inheritance = Inheritance::FirstReport(now),
@@ -218,7 +219,7 @@
     pub(crate) fn add(&mut self, key: RunKey, run: &Run) {
         self.runs.push(key);
         self.allocated += run.guaranteed_size();
-        *self.milli(run) += run.size.milli_cores;
+        *self.requested_milli(run) += run.size.milli_cores;
     }
 
     /// remove releases the capacity that a run held.
@@ -226,7 +227,7 @@
         self.runs.retain(|other| *other != key);
         self.end_isolation(key);
         self.allocated = self.allocated.minus(&run.guaranteed_size());
-        let milli = self.milli(run);
+        let milli = self.requested_milli(run);
         *milli = milli.saturating_sub(run.size.milli_cores);
     }
 
@@ -235,7 +236,8 @@
         self.isolation = self.isolation.filter(|isolation| isolation.run != key);
     }
 
-    fn milli(&mut self, run: &Run) -> &mut u32 {
+    /// requested_milli returns the counter that includes the processors that a run asked for.
+    fn requested_milli(&mut self, run: &Run) -> &mut u32 {
         if run.long_running {
             &mut self.long_running_milli
         } else {
--- a/crates/stackpier-cell/tests/common/crash.rs
+++ b/crates/stackpier-cell/tests/common/crash.rs
@@ -9,9 +9,9 @@
 
 /// UNLISTED_MS is the time from a worker's crash until its entry leaves the list.
 const UNLISTED_MS: u64 = 4_500;
-/// BACK_MS is the time from a worker's crash until its next incarnation runs, with another id at
+/// REPLACEMENT_MS is the time from a worker's crash until its next incarnation runs, with another id at
 /// the same address.
-const BACK_MS: u64 = 3_000;
+const REPLACEMENT_MS: u64 = 3_000;
 
 /// Restart is the scheduled restart of a crashed worker.
 pub struct Restart {
@@ -29,7 +29,7 @@
             self.answer(UNLISTED_MS, Event::Unlisted(id));
         }
         self.restarts.push(Restart {
-            at_ms: self.now_ms + self.restart_ms.unwrap_or(BACK_MS),
+            at_ms: self.now_ms + self.restart_ms.unwrap_or(REPLACEMENT_MS),
             place,
         });
     }
--- a/crates/stackpier-cell/tests/common/effects.rs
+++ b/crates/stackpier-cell/tests/common/effects.rs
@@ -150,7 +150,7 @@
             .iter()
             .filter(|id| id.ends_with(['0', '2', '4', '6', '8']));
         let good = good.map(|id| (id.clone(), self.ticket(id))).collect();
-        self.asked.push(request.workers.len());
+        self.advice_sizes.push(request.workers.len());
         let answer = Advised {
             good,
             valid_ms: 2_000,
--- a/crates/stackpier-cell/tests/common/mod.rs
+++ b/crates/stackpier-cell/tests/common/mod.rs
@@ -59,13 +59,13 @@
     waiting: Vec<WaitingRenewal>,
     /// Every save, in order.
     pub saves: Vec<Save>,
-    /// Whether saves are acknowledged.
+    /// Whether the store acknowledges saves and confirms the ownership.
     pub store: bool,
     /// How long the answer to a save takes.
     pub save_ms: u64,
     pub deposed: bool,
     /// How many workers each request for advice named.
-    pub asked: Vec<usize>,
+    pub advice_sizes: Vec<usize>,
     /// How many of the next answers to starts are lost.
     pub lose_starts: usize,
     /// How long answers to starts take.
@@ -120,7 +120,7 @@
     }
 }
 
-/// step returns tasks of one core that run for a second.
+/// step returns a step with `count` tasks of one core that run for a second.
 pub fn step(count: u32) -> Step {
     Step {
         count,
@@ -135,7 +135,8 @@
     }
 }
 
-/// sized returns tasks that request some thousandths of a core and run for a second.
+/// sized returns a step with `count` tasks that request `milli_cores` thousandths of a core and
+/// run for a second.
 pub fn sized(milli_cores: u32, count: u32) -> Step {
     Step {
         size: Size {
@@ -177,7 +178,7 @@
         owner
     }
 
-    /// with starts an owner with a fencing token that knows no workers yet.
+    /// with starts an owner that holds the fencing token `fence` and knows no workers yet.
     pub fn with(workers: usize, fence: u64, predecessor: bool) -> Owner {
         let options = Options {
             max_lease_ms: 6_000,
@@ -215,7 +216,7 @@
             store: true,
             save_ms: 2,
             deposed: false,
-            asked: Vec::new(),
+            advice_sizes: Vec::new(),
             lose_starts: 0,
             start_ms: 1,
             unanswered_starts: 0,
@@ -267,7 +268,7 @@
         fence: u64,
         progress: Option<Progress>,
     ) {
-        self.describe(job, spec.clone());
+        self.set_spec(job, spec.clone());
         let record = Record {
             queue: queue(name, 0),
             spec,
@@ -282,8 +283,8 @@
         });
     }
 
-    /// describe sets the steps that the workers use for the tasks of a job.
-    pub fn describe(&mut self, job: u64, spec: Spec) {
+    /// set_spec sets the description of a job by which the workers run its tasks.
+    pub fn set_spec(&mut self, job: u64, spec: Spec) {
         self.specs.insert(job, spec);
     }
 
@@ -323,9 +324,9 @@
         self.starts.iter().filter(of_task).count()
     }
 
-    /// max_reserved_milli returns the highest processor use of a worker now, by the sizes of its
-    /// runs, in thousandths of a core.
-    pub fn max_reserved_milli(&self) -> u32 {
+    /// max_guaranteed_milli returns the processors, in thousandths of a core, that the guaranteed
+    /// runs on a worker ask for in total, for the worker with the highest total.
+    pub fn max_guaranteed_milli(&self) -> u32 {
         let taken = |worker: &Worker| -> u32 {
             let runs = worker.runs.iter();
             runs.map(|run| run.behaviour().size.milli_cores).sum()
--- a/crates/stackpier-cell/tests/entries.rs
+++ b/crates/stackpier-cell/tests/entries.rs
@@ -104,7 +104,7 @@
         "six cores of five are taken"
     );
     owner.advance(3_500);
-    let max_milli = owner.max_reserved_milli();
+    let max_milli = owner.max_guaranteed_milli();
     assert!(max_milli <= 6_000, "{max_milli}");
     assert!(!owner.places(OTHER, 0).is_empty(), "the first six are done");
     owner.feed(Event::Listed(info(0)));
--- a/crates/stackpier-cell/tests/evacuation.rs
+++ b/crates/stackpier-cell/tests/evacuation.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Evacuation: a worker is cleared of serving tasks for best-effort images that disturb most of
-//! them. Without it, where six pairs of ten have a strong effect, such tasks waited for up to
+//! them. Without it, where six of ten image pairs have a strong effect, such tasks waited for up to
 //! 20 s and the goodput of their class was 0.13 to 0.28, though there were enough workers.
 
 mod common;
--- a/crates/stackpier-cell/tests/jobs.rs
+++ b/crates/stackpier-cell/tests/jobs.rs
@@ -336,7 +336,11 @@
         .iter()
         .filter_map(|(start, _)| start.ticket.as_deref());
     assert_eq!(tickets.count(), 20);
-    assert!(owner.asked.len() < 12, "{:?} advice requests", owner.asked);
+    assert!(
+        owner.advice_sizes.len() < 12,
+        "{:?} advice requests",
+        owner.advice_sizes
+    );
 }
 
 /// A job still runs if its queue was removed from the configuration before another daemon took
--- a/crates/stackpier-cell/tests/listing.rs
+++ b/crates/stackpier-cell/tests/listing.rs
@@ -14,8 +14,8 @@
 //! promises rising numbers, but no order of the list.
 //!
 //! In a simulation with workers that list the newest end first, or in a random order, as many
-//! tasks start again as in the deployments, and most second runs end as done. With ends that show
-//! late, or lists that are cut, second runs are stopped. `platform/tests/listing.rs` tests the same
+//! tasks start again as in the deployments, and most second runs end as done. With ends that are
+//! listed late, or truncated lists, second runs are stopped. `platform/tests/listing.rs` tests the same
 //! with real daemons. It is not proved that the workers of the deployments listed ends in this way.
 
 mod common;
--- a/crates/stackpier-cell/tests/order.rs
+++ b/crates/stackpier-cell/tests/order.rs
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //! The order of waiting jobs under overload.
 //!
-//! Guards against workers that are busy with expired jobs while others expire behind them: with
-//! up to 1,900 best-effort tasks waiting at a time, for up to 20 s, jobs that missed their
-//! deadlines were ordered by age.
+//! Guards against workers that are busy with expired jobs while others expire behind them. This
+//! happened with up to 1,900 best-effort tasks waiting at a time, for up to 20 s, when jobs that
+//! missed their deadlines were ordered by age.
 
 mod common;
 
@@ -55,7 +55,7 @@
         fence: 1,
         accepted_ms: UNIX + owner.now_ms - age_ms,
     };
-    owner.describe(job, record.spec.clone());
+    owner.set_spec(job, record.spec.clone());
     owner.feed(Event::Accepted {
         job: key::Job(job),
         record: Box::new(record),
--- a/crates/stackpier-cell/tests/restarts.rs
+++ b/crates/stackpier-cell/tests/restarts.rs
@@ -357,7 +357,7 @@
     queue.advised = true;
     owner.feed(Event::Queues(vec![queue]));
     owner.submit_to(LATER, "advised", spec(vec![step(1)]), 1, None);
-    assert_eq!(owner.asked, [1]);
+    assert_eq!(owner.advice_sizes, [1]);
     // The answer comes after 5 ms.
     restart(&mut owner, 0, 1);
     list(&mut owner, 0, 1);
--- a/crates/stackpier-cell/tests/starvation.rs
+++ b/crates/stackpier-cell/tests/starvation.rs
@@ -257,7 +257,11 @@
     );
     owner.advance(5_000);
     let why = owner.cell.explain(key::Job(BEST_EFFORT));
-    assert!(has_started(&owner), "asked {:?}; {why:?}", owner.asked);
+    assert!(
+        has_started(&owner),
+        "asked {:?}; {why:?}",
+        owner.advice_sizes
+    );
 }
 
 /// A start that the worker refuses does not reset the time for which the step has waited.
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -2,9 +2,9 @@
 //! An owner that cannot reach the store while a successor takes over the cell.
 //!
 //! The failure: tasks ran twice at the same time, or ran again after their end was acknowledged.
-//! A data centre was cut off for 5.5 s, and a second after it the owner's own data centre, with
-//! the store beyond the cut. A successor took over, contacted the workers of the first data centre
-//! when they were back, renewed their leases and acknowledged ends.
+//! A data centre was cut off for 5.5 s, and a second later the owner's own data centre was cut off
+//! too, from the store as well. A successor took over, contacted the workers of the first data
+//! centre when they were back, renewed their leases and acknowledged ends.
 //!
 //! How it came about: the predecessor still had 5 s of authority. By its own record the leases in
 //! the first data centre expired in that time, so it started their tasks again on workers in its
--- a/crates/stackpier-cell/tests/trim.rs
+++ b/crates/stackpier-cell/tests/trim.rs
@@ -108,7 +108,7 @@
         fence: 1,
         accepted_ms: UNIX,
     };
-    owner.describe(JOB, whole.spec.clone());
+    owner.set_spec(JOB, whole.spec.clone());
     owner.feed(accepted(whole, None));
     assert_eq!(owner.state(JOB), Some(State::Pending));
 }
