--- a/crates/stackpier-cell/src/uncontacted.rs
+++ b/crates/stackpier-cell/src/uncontacted.rs
@@ -9,8 +9,8 @@
 
 /// POLL_AGAIN_MS is the time without an answer after which a worker is polled again.
 const POLL_AGAIN_MS: u64 = 300;
-/// NEVER_ANSWERED_MS is how long after a takeover workers that have never answered are polled
-/// again. Most of them are gone.
+/// NEVER_ANSWERED_MS is how long after a takeover workers that have never answered are still polled
+/// again. Later it is not worth it: most of them are gone.
 const NEVER_ANSWERED_MS: u64 = 4_000;
 /// MAX_POLLED is how many workers are polled again per tick.
 const MAX_POLLED: usize = 16;
