--- a/crates/stackpier-cell/src/uncontacted.rs
+++ b/crates/stackpier-cell/src/uncontacted.rs
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Workers that a new owner has not contacted yet. The tasks of earlier jobs wait until each of
-//! these workers has answered twice.
+//! Workers that a new owner has not contacted yet. The tasks of earlier jobs, those accepted under
+//! a predecessor, wait until each of these workers has answered twice.
 //!
-//! A single lost answer delays all these tasks. Such a worker is therefore sent another renewal
-//! before the earlier one times out.
+//! A single lost answer would delay all these tasks. A worker that has not answered is therefore
+//! sent another renewal before the previous one times out.
 
 use crate::{Cell, arena::WorkerKey, worker::Worker};
 
 /// POLL_AGAIN_MS is the time without an answer after which a worker is polled again.
 const POLL_AGAIN_MS: u64 = 300;
-/// NEVER_ANSWERED_MS is how long after a takeover workers that have never answered are polled
-/// again. Most of them are gone.
+/// NEVER_ANSWERED_MS is how long after a takeover workers that have never answered are still polled
+/// again. Later it is not worth it: most of them are gone.
 const NEVER_ANSWERED_MS: u64 = 4_000;
 /// MAX_POLLED is how many workers are polled again per tick.
 const MAX_POLLED: usize = 16;
