--- a/crates/stackpier-cell/tests/crashes.rs
+++ b/crates/stackpier-cell/tests/crashes.rs
@@ -16,9 +16,10 @@
 use stackpier_state::job::{Progress, State, Step};
 
 /// MAX_STARTS is how often a task that crashes every worker may start: three crashes identify
-/// it, and operators accept two more starts.
+/// it, and client accounts accept two more starts.
 const MAX_STARTS: usize = 5;
-/// QUIET_MS is how long nothing else starts on a worker after the second start of a suspect.
+/// QUIET_MS is how long nothing else starts on a worker after the second start of a suspect, a
+/// task that may have crashed a worker.
 const QUIET_MS: u64 = 200;
 /// LONG_MS is how long an owner runs if no task starts: longer than all leases.
 const LONG_MS: u64 = 30_000;
--- a/crates/stackpier-cell/tests/entries.rs
+++ b/crates/stackpier-cell/tests/entries.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn long(count: u32) -> Step {
+fn long_step(count: u32) -> Step {
     Step {
         estimate_ms: 10_000,
         ..step(count)
@@ -36,7 +36,7 @@
 #[test]
 fn a_worker_whose_entry_is_not_readable_gets_no_starts_and_keeps_its_runs() {
     let mut owner = Owner::new(2);
-    owner.submit(JOB, spec(vec![long(16)]));
+    owner.submit(JOB, spec(vec![long_step(16)]));
     owner.advance(500);
     owner.feed(Event::Unreadable("w0".to_owned()));
     owner.submit(OTHER, spec(vec![step(20)]));
@@ -70,7 +70,7 @@
     assert_eq!(owner.cell.workers(), 1);
 }
 
-/// The address of such a worker may belong to any other process.
+/// The address in the entry of a worker whose service no queue names may belong to any process.
 #[test]
 fn a_worker_of_a_service_that_no_queue_names_is_not_called() {
     let mut owner = Owner::with(1, 1, false);
@@ -94,7 +94,7 @@
 #[test]
 fn no_start_exceeds_a_capacity_that_shrank() {
     let mut owner = Owner::new(1);
-    owner.submit(JOB, spec(vec![long(6)]));
+    owner.submit(JOB, spec(vec![long_step(6)]));
     owner.advance(500);
     owner.feed(Event::Listed(shrunk(0, 5_000)));
     owner.submit(OTHER, spec(vec![step(8)]));
@@ -115,7 +115,7 @@
 #[test]
 fn runs_that_are_being_stopped_still_count_in_a_capacity_that_shrank() {
     let mut owner = Owner::new(1);
-    owner.submit(JOB, spec(vec![long(8)]));
+    owner.submit(JOB, spec(vec![long_step(8)]));
     owner.advance(500);
     owner.feed(Event::Listed(shrunk(0, 2_000)));
     owner.feed(Event::Cancelled(stackpier_core::key::Job(JOB)));
--- a/crates/stackpier-cell/tests/evacuation.rs
+++ b/crates/stackpier-cell/tests/evacuation.rs
@@ -16,18 +16,20 @@
 const WORKERS: u64 = 4;
 /// BEST_EFFORT is the best-effort job: its tasks together request more than a whole worker.
 const BEST_EFFORT: u64 = 100;
-/// HEAVY is the load that one core of a pair with a strong effect adds.
+/// HEAVY is the load that one core of the best-effort image adds to a serving task if the pair of
+/// images has a strong effect.
 const HEAVY: SavedEstimate = SavedEstimate {
     mean: 0.3,
     variance: 0.000_001,
 };
-/// LIGHT is the load that one core of a pair with a weak effect adds.
+/// LIGHT is the same as [`HEAVY`] for a pair with a weak effect.
 const LIGHT: SavedEstimate = SavedEstimate {
     mean: 0.001,
     variance: 0.000_001,
 };
-/// UNCERTAIN is the load of a pair that has an effect with certainty, by three standard
-/// deviations, but possibly less than 0.08, the limit from which it counts as strong.
+/// UNCERTAIN is the same as [`HEAVY`] for a pair that certainly has an effect (the mean is three
+/// standard deviations above zero), but possibly one below 0.08, the limit from which it counts as
+/// strong.
 const UNCERTAIN: SavedEstimate = SavedEstimate {
     mean: 0.1,
     variance: 0.001,
@@ -53,8 +55,8 @@
     }
 }
 
-/// start_owner starts a cell whose owner knows the pairs; each serving image is alone on its
-/// worker.
+/// start_owner starts a cell whose owner has learnt the same estimate for each pair of a serving
+/// image and the best-effort image. Each serving task is alone on its worker.
 fn start_owner(pair: SavedEstimate, may_miss: Option<u32>, options: Options) -> Owner {
     let mut owner = Owner::with_options(WORKERS as usize, 1, false, options);
     let image_of = |number: u64| ServingImage {
--- a/crates/stackpier-cell/tests/faults.rs
+++ b/crates/stackpier-cell/tests/faults.rs
@@ -423,7 +423,7 @@
     assert_eq!(ids, ["w0"]);
 }
 
-/// A step that only waits after a failure does not show that similar steps do not fit.
+/// That a step waits after a failed run does not show that no worker fits similar steps.
 #[test]
 fn a_best_effort_task_that_waits_does_not_block_others_of_its_image() {
     let mut owner = Owner::new(2);
--- a/crates/stackpier-cell/tests/interference.rs
+++ b/crates/stackpier-cell/tests/interference.rs
@@ -43,7 +43,7 @@
     best_effort.filter(|run| run.is_working()).count()
 }
 
-/// set_tail_latency makes the tasks of a job serve with a tail latency.
+/// set_tail_latency makes the tasks of a job serve with the given tail latency.
 fn set_tail_latency(owner: &mut Owner, job: u64, tail_ms: u32) {
     let size = step(1).size;
     let behaviour = Behaviour {
--- a/crates/stackpier-cell/tests/large_short.rs
+++ b/crates/stackpier-cell/tests/large_short.rs
@@ -29,7 +29,7 @@
 const LARGE: u64 = 10;
 /// JOB_INTERVAL_MS is the time between two short jobs.
 const JOB_INTERVAL_MS: u64 = 125;
-/// OBJECTIVES is the number of objectives after its arrival at which a job expires.
+/// OBJECTIVES is the time from a short job's arrival until it expires, in objectives.
 const OBJECTIVES: u64 = 3;
 
 fn short_step(milli_cores: u32, count: u32, estimate_ms: u32) -> Step {
--- a/crates/stackpier-cell/tests/listing.rs
+++ b/crates/stackpier-cell/tests/listing.rs
@@ -15,8 +15,9 @@
 //!
 //! In a simulation with workers that list the newest end first, or in a random order, as many
 //! tasks start again as in the deployments, and most second runs end as done. With ends that are
-//! listed late, or truncated lists, second runs are stopped. `platform/tests/listing.rs` tests the same
-//! with real daemons. It is not proved that the workers of the deployments listed ends in this way.
+//! listed late, or truncated lists, second runs are stopped. `platform/tests/listing.rs` tests the
+//! same with real daemons. It is not proved that the workers of the deployments listed ends in this
+//! way.
 
 mod common;
 
@@ -33,7 +34,7 @@
 
 /// TASKS is how many tasks run on one worker and end at the same time.
 const TASKS: u32 = 6;
-/// WORK_MS is more than twice as long as they run.
+/// WORK_MS is more than twice as long as these tasks run.
 const WORK_MS: u64 = 4_000;
 
 /// run_tasks runs tasks that end together on a worker that lists ends in the given way. It
--- a/crates/stackpier-cell/tests/restarts.rs
+++ b/crates/stackpier-cell/tests/restarts.rs
@@ -30,9 +30,9 @@
 const LATER: u64 = 2;
 /// WIDTH is how many tasks a step has: all of them fit on one worker.
 const WIDTH: u32 = 8;
-/// CLOCK_MS is the clock of a later incarnation at its start.
+/// CLOCK_MS is what the clock of a later incarnation shows at its start.
 const CLOCK_MS: u64 = 20;
-/// HEARTBEAT_MS is the time until its entry is listed.
+/// HEARTBEAT_MS is the time from that start until the incarnation's entry is listed.
 const HEARTBEAT_MS: u64 = 1_500;
 /// IDLE_MS is longer than the time between two polls of an idle worker.
 const IDLE_MS: u64 = 5_100;
--- a/crates/stackpier-cell/tests/starvation.rs
+++ b/crates/stackpier-cell/tests/starvation.rs
@@ -320,7 +320,8 @@
     assert_eq!(owner.places(BEST_EFFORT, 0).len(), 2, "{why:?}");
 }
 
-/// Running tasks count with the use that reports show, not with their requests.
+/// A service counts as free by the use that reports show, not by the requests of its running
+/// tasks.
 #[test]
 fn a_service_that_is_hardly_used_counts_as_free() {
     let mut owner = Owner::new(1);
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -30,11 +30,11 @@
 const LEASE_MS: u64 = 6_400;
 /// INHERITED_MS is how long an owner waits for workers that its predecessor held leases on.
 const INHERITED_MS: u64 = 11_800;
-/// CROWD_AT_MS is when the crowd job is submitted to such an owner: it still runs at the end of
+/// LARGE_JOB_AT_MS is when the large job is submitted to such an owner: it still runs at the end of
 /// the wait.
-const CROWD_AT_MS: u64 = 5_500;
-/// CROWD_MS is how long the crowd job runs, which takes all the capacity of a worker.
-const CROWD_MS: u32 = 8_000;
+const LARGE_JOB_AT_MS: u64 = 5_500;
+/// LARGE_JOB_MS is how long the large job runs, which takes all the capacity of a worker.
+const LARGE_JOB_MS: u32 = 8_000;
 /// TICK_MS is the time between two ticks, with the time that the store takes to answer.
 const TICK_MS: u64 = 55;
 
@@ -273,10 +273,10 @@
     assert_eq!(earlier.starts.len(), 2);
 }
 
-/// crowd returns a job that takes all the capacity of one worker for longer than a lease.
-fn crowd() -> Spec {
+/// large_job returns a job that takes all the capacity of one worker for longer than a lease.
+fn large_job() -> Spec {
     let shape = Step {
-        estimate_ms: CROWD_MS,
+        estimate_ms: LARGE_JOB_MS,
         ..step(8)
     };
     spec(vec![shape])
@@ -298,7 +298,7 @@
     earlier.cut[place] = true;
     earlier.advance(1_000);
     end_unreported(&mut earlier, place);
-    earlier.submit(2, crowd());
+    earlier.submit(2, large_job());
     earlier.advance(LEASE_MS);
     check_fresh_confirmation(earlier, place);
 }
@@ -314,9 +314,9 @@
     earlier.feed(Event::Listed(info(1 - place)));
     earlier.advance(1_000);
     end_unreported(&mut earlier, place);
-    earlier.advance(CROWD_AT_MS);
-    earlier.submit_to(2, QUEUE, crowd(), 2, None);
-    earlier.advance(INHERITED_MS - CROWD_AT_MS);
+    earlier.advance(LARGE_JOB_AT_MS);
+    earlier.submit_to(2, QUEUE, large_job(), 2, None);
+    earlier.advance(INHERITED_MS - LARGE_JOB_AT_MS);
     check_fresh_confirmation(earlier, place);
 }
 
--- a/crates/stackpier-cell/tests/trim.rs
+++ b/crates/stackpier-cell/tests/trim.rs
@@ -13,15 +13,15 @@
 
 const JOB: u64 = 1;
 
-/// trimmed returns the indices of the saves that trim the job.
-fn trimmed(owner: &Owner) -> Vec<usize> {
+/// find_trims returns the indices of the saves that trim the job.
+fn find_trims(owner: &Owner) -> Vec<usize> {
     let saves = owner.saves.iter().enumerate();
     let trims = saves.filter(|(_, save)| save.trimmed.contains(&key::Job(JOB)));
     trims.map(|(place, _)| place).collect()
 }
 
-/// ended returns the index of the first save in which the job has ended.
-fn ended(owner: &Owner) -> Option<usize> {
+/// find_end returns the index of the first save in which the job has ended.
+fn find_end(owner: &Owner) -> Option<usize> {
     let over = |(id, progress): &(key::Job, Progress)| id.0 == JOB && progress.state.is_final();
     owner
         .saves
@@ -46,8 +46,8 @@
     // Another job causes another save.
     owner.submit(2, spec(vec![step(1)]));
     owner.advance(3_000);
-    let ended = ended(&owner).expect("the job ends");
-    let trimmed = trimmed(&owner);
+    let ended = find_end(&owner).expect("the job ends");
+    let trimmed = find_trims(&owner);
     assert_eq!(trimmed.len(), 1, "{trimmed:?}");
     assert!(trimmed[0] > ended);
     assert_eq!(owner.state(JOB), Some(State::Completed));
@@ -62,8 +62,8 @@
     owner.feed(Event::Cancelled(key::Job(JOB)));
     owner.submit(2, spec(vec![step(1)]));
     owner.advance(3_000);
-    assert!(ended(&owner).is_some());
-    assert!(trimmed(&owner).is_empty());
+    assert!(find_end(&owner).is_some());
+    assert!(find_trims(&owner).is_empty());
 }
 
 /// Guards against runs that no owner can stop any more: a job was cancelled while the data centre
@@ -79,8 +79,8 @@
     owner.submit(2, spec(vec![step(1)]));
     owner.feed(Event::Cancelled(key::Job(2)));
     owner.advance(500);
-    assert!(ended(&owner).is_some());
-    assert!(trimmed(&owner).is_empty());
+    assert!(find_end(&owner).is_some());
+    assert!(find_trims(&owner).is_empty());
 }
 
 #[rstest]
--- a/crates/stackpier-cell/tests/uncontacted.rs
+++ b/crates/stackpier-cell/tests/uncontacted.rs
@@ -14,7 +14,7 @@
 /// APART_MS is the time between the first polls of two workers: short enough that some poll is
 /// always without an answer.
 const APART_MS: u64 = 20;
-/// LOST_MS is when operators count a job as lost that could run and does not.
+/// LOST_MS is when client accounts count a job as lost that could run and does not.
 const LOST_MS: u64 = 3_000;
 /// LEASES_MS is when all leases of a predecessor have expired, with the time of a tick and a call
 /// to the store.
