--- a/crates/stackpier-cell/tests/uncontacted.rs
+++ b/crates/stackpier-cell/tests/uncontacted.rs
@@ -16,7 +16,7 @@
 const APART_MS: u64 = 20;
 /// LOST_MS is when client accounts count a job as lost that could run and does not.
 const LOST_MS: u64 = 3_000;
-/// LEASES_MS is when all leases of a predecessor have expired, with the time of a tick and a call
+/// LEASES_MS is when all leases of a predecessor have expired, plus the time of a tick and a call
 /// to the store.
 const LEASES_MS: u64 = 6_800;
 
