--- a/crates/stackpier-cell/tests/flow.rs
+++ b/crates/stackpier-cell/tests/flow.rs
@@ -42,7 +42,7 @@
     owner
 }
 
-fn wide(count: u32) -> Spec {
+fn wide_job(count: u32) -> Spec {
     Spec {
         payload: "x".repeat(1_200),
         ..spec(vec![step(count)])
@@ -52,7 +52,7 @@
 #[rstest]
 fn no_more_starts_wait_for_answers_than_the_link_carries() {
     let mut owner = owner();
-    owner.submit(1, wide(WIDE));
+    owner.submit(1, wide_job(WIDE));
     owner.advance(100);
     assert!(
         owner.max_unanswered_starts <= MAX_STARTS,
@@ -67,9 +67,9 @@
 fn urgent_tasks_start_before_a_burst_that_waits_for_answers() {
     let mut owner = owner();
     owner.start_ms = SLOW_MS;
-    owner.submit(1, wide(WIDE));
+    owner.submit(1, wide_job(WIDE));
     owner.advance(SLOW_MS);
-    owner.submit_to(2, URGENT, wide(4), 1, None);
+    owner.submit_to(2, URGENT, wide_job(4), 1, None);
     owner.advance(2 * SLOW_MS);
     assert_eq!(owner.places(2, 0).len(), 4);
     assert!(owner.starts.len() < WIDE as usize);
--- a/crates/stackpier-cell/tests/handover.rs
+++ b/crates/stackpier-cell/tests/handover.rs
@@ -13,7 +13,8 @@
 /// TASKS is how many tasks a step has: all of them fit on the two workers at once.
 const TASKS: u32 = 4;
 
-/// predecessor runs a job whose first step ends while the store does not answer.
+/// predecessor returns an owner that has run a job whose first step ended while the store did not
+/// answer.
 fn predecessor(steps: Vec<Step>) -> Owner {
     let mut owner = Owner::new(2);
     owner.submit(JOB, spec(steps));
@@ -23,7 +24,7 @@
     owner
 }
 
-/// successor starts the next owner, with restarted workers and the saved progress.
+/// successor returns the next owner, with restarted workers and the saved progress.
 fn successor(steps: Vec<Step>, saved: Option<Progress>) -> Owner {
     let mut owner = Owner::with_options(2, 2, false, Options::default());
     owner.cell.await_handover();
--- a/crates/stackpier-cell/tests/lateness.rs
+++ b/crates/stackpier-cell/tests/lateness.rs
@@ -25,9 +25,9 @@
     }
 }
 
-fn filter_notes(owner: &Owner, part: &str) -> Vec<String> {
-    let notes = owner.log_lines.iter();
-    notes.filter(|note| note.contains(part)).cloned().collect()
+fn filter_log_lines(owner: &Owner, part: &str) -> Vec<String> {
+    let lines = owner.log_lines.iter();
+    lines.filter(|line| line.contains(part)).cloned().collect()
 }
 
 #[rstest]
@@ -35,7 +35,7 @@
     let mut owner = Owner::new(1);
     owner.submit(LONG, spec(vec![whole_worker_step(1_000)]));
     owner.advance(2_000);
-    let ends = filter_notes(&owner, "job completed");
+    let ends = filter_log_lines(&owner, "job completed");
     let size =
         "ms before its objective; 1 tasks of 8000 thousandths of a core at most, 8 core-seconds";
     assert!(ends[0].ends_with(size), "{ends:?}");
@@ -49,8 +49,8 @@
     owner.submit(SECOND, spec(vec![whole_worker_step(1_000)]));
     owner.advance(20_000);
     assert_eq!(
-        filter_notes(&owner, "job has expired, 1 tasks left").len(),
+        filter_log_lines(&owner, "job has expired, 1 tasks left").len(),
         1
     );
-    assert!(filter_notes(&owner, "ms after its objective")[0].contains("has expired"));
+    assert!(filter_log_lines(&owner, "ms after its objective")[0].contains("has expired"));
 }
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -38,7 +38,7 @@
 /// TICK_MS is the time between two ticks, with the time that the store takes to answer.
 const TICK_MS: u64 = 55;
 
-fn long_running() -> Step {
+fn long_running_step() -> Step {
     Step {
         long_running: true,
         ..step(1)
@@ -71,9 +71,9 @@
     owner.workers[place] = Worker::new(next, 9_000, owner.now_ms);
 }
 
-/// Silence is how an owner learns that a task's run is over.
+/// Evidence is what shows an owner that a task's run is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Silence {
+enum Evidence {
     /// The worker did not answer until its lease expired.
     Lease,
     /// Another incarnation answers at the worker's address.
@@ -81,12 +81,12 @@
 }
 
 #[rstest]
-#[case::lease(Silence::Lease)]
-#[case::incarnation(Silence::Incarnation)]
-fn without_the_store_tasks_of_silent_workers_do_not_start(#[case] silence: Silence) {
-    let shape = match silence {
-        Silence::Lease => long_running(),
-        Silence::Incarnation => step(1),
+#[case::lease(Evidence::Lease)]
+#[case::incarnation(Evidence::Incarnation)]
+fn without_the_store_tasks_of_silent_workers_do_not_start(#[case] evidence: Evidence) {
+    let shape = match evidence {
+        Evidence::Lease => long_running_step(),
+        Evidence::Incarnation => step(1),
     };
     let mut earlier = Owner::new(2);
     earlier.submit(1, spec(vec![shape.clone()]));
@@ -97,13 +97,13 @@
     earlier.store = false;
     earlier.advance(500);
     let mut later = successor(&earlier, place, shape);
-    match silence {
-        Silence::Lease => {
+    match evidence {
+        Evidence::Lease => {
             earlier.advance(LEASE_MS - 4_500);
             later.advance(LEASE_MS - 4_600);
             assert_eq!(later.workers[place].runs.len(), 1, "the successor renewed");
         }
-        Silence::Incarnation => {
+        Evidence::Incarnation => {
             let acked = &later.workers[place].acked;
             assert!(
                 acked.iter().any(|end| end.cause == EndCause::Done),
@@ -124,9 +124,9 @@
 /// The leases of a predecessor also count as expired without an answer of the workers. The tasks
 /// still wait for the store's confirmation.
 #[rstest]
-#[case::leases(Silence::Lease)]
-#[case::incarnation(Silence::Incarnation)]
-fn without_the_store_inherited_tasks_keep_waiting(#[case] silence: Silence) {
+#[case::leases(Evidence::Lease)]
+#[case::incarnation(Evidence::Incarnation)]
+fn without_the_store_inherited_tasks_keep_waiting(#[case] evidence: Evidence) {
     let mut owner = Owner::with(2, 2, true);
     owner.cell.add_roster(&RosterEntry {
         id: "w1".to_owned(),
@@ -137,9 +137,9 @@
     owner.submit_to(1, QUEUE, spec(vec![step(1)]), 1, None);
     owner.advance(10_000);
     owner.store = false;
-    match silence {
-        Silence::Lease => owner.advance(3_000),
-        Silence::Incarnation => {
+    match evidence {
+        Evidence::Lease => owner.advance(3_000),
+        Evidence::Incarnation => {
             replace_incarnation(&mut owner, 1);
             owner.cut[1] = false;
             owner.advance(1_000);
@@ -214,7 +214,7 @@
 #[test]
 fn without_the_store_long_running_tasks_of_a_dead_worker_start_elsewhere() {
     let mut owner = Owner::new(2);
-    owner.submit(1, spec(vec![long_running()]));
+    owner.submit(1, spec(vec![long_running_step()]));
     owner.advance(300);
     owner.store = false;
     let place = owner.starts[0].1;
