--- a/crates/stackpier-fuzz/src/cell/oracle.rs
+++ b/crates/stackpier-fuzz/src/cell/oracle.rs
@@ -39,9 +39,9 @@
 
 impl AckedEnd {
     /// forbids_start reports whether an owner with a fence may not start the task again because
-    /// of this end. The operators' rule ignores an end that was acknowledged after the lease
-    /// expired. This check is stricter: it ignores such an end only for owners with lower fences,
-    /// as they can't know of it.
+    /// of this end. The client accounts' rule ignores an end that was acknowledged after the
+    /// lease expired. This check is stricter: it ignores such an end only for owners with lower
+    /// fences, as they can't know of it.
     fn forbids_start(self, fence: u64) -> bool {
         !self.expired || fence >= self.fence
     }
@@ -94,8 +94,8 @@
     /// The worker crashes that each task caused.
     crashes: BTreeMap<TaskName, Crashes>,
     /// The number of workers that crashed while they ran each task, but not because of a task.
-    /// Operators accept that a task is given up after such crashes, as they can't be told apart
-    /// from crashes that it caused.
+    /// Client accounts accept that a task is given up after such crashes, as nobody can tell
+    /// them apart from crashes that it caused.
     unrelated_crashes: BTreeMap<TaskName, u32>,
     /// The time of each takeover.
     takeovers: Vec<u64>,
@@ -221,8 +221,8 @@
         spec.is_some_and(|spec| spec.steps[usize::from(task.step)].speculative)
     }
 
-    /// check_ended detects the start of a task that had ended, or whose job had ended, by
-    /// `until_ms`.
+    /// check_ended detects the start of a task that by `until_ms` had completed, had failed as
+    /// often as its queue allows, or belonged to a job that was reported as completed.
     fn check_ended(&mut self, until_ms: u64, at_ms: u64, start: &Start) {
         let task = start.order.task;
         let forbids =
--- a/crates/stackpier-fuzz/src/cell/simulation/handover.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/handover.rs
@@ -10,8 +10,8 @@
 const ANSWER_MS: (u64, u64) = (1, 60);
 /// ANSWER_TIMEOUT_MS is the time after which a poll without an answer has failed.
 const ANSWER_TIMEOUT_MS: u64 = 350;
-/// UNASKED_MS bounds the time until a replaced owner sends its handover without being polled.
-const UNASKED_MS: (u64, u64) = (50, 12_000);
+/// UNPOLLED_MS bounds the time until a replaced owner sends its handover without being polled.
+const UNPOLLED_MS: (u64, u64) = (50, 12_000);
 
 impl Simulation {
     /// poll_predecessor has the newest owner poll its predecessor.
@@ -49,7 +49,7 @@
             return;
         }
         let unsaved = self.owners[index].cell.unsaved();
-        let delay = self.draw_extra_range(UNASKED_MS.0, UNASKED_MS.1);
+        let delay = self.draw_extra_range(UNPOLLED_MS.0, UNPOLLED_MS.1);
         if !unsaved.is_empty() {
             self.count("handed over");
         }
--- a/crates/stackpier-fuzz/src/cell/simulation/series.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/series.rs
@@ -42,7 +42,7 @@
     /// begin_cut_series isolates a data centre other than the owner's and, before
     /// that cut ends, the owner's. An owner in the third takes over. In some
     /// series, workers of the first data centre crash after the end of its cut. In
-    /// half, the earlier owner can't reach the store for longer than its cut.
+    /// half, the predecessor can't reach the store for longer than its cut.
     pub(super) fn begin_cut_series(&mut self) {
         if self.now_ms < self.series_until {
             return;
@@ -68,7 +68,7 @@
             self.send(second_at, Message::IsolateFromStore(own, ms));
         }
         // A worker that stays up would reveal the successor's fence to the
-        // earlier owner.
+        // predecessor.
         let dead = self.draw_range(0, WORKERS_PER_DATA_CENTRE as u64) as usize;
         for worker in (first * WORKERS_PER_DATA_CENTRE..).take(dead) {
             let crash_at = first_ms + self.draw_range(CRASH_MS.0, CRASH_MS.1);
--- a/crates/stackpier-fuzz/src/placement/calls.rs
+++ b/crates/stackpier-fuzz/src/placement/calls.rs
@@ -18,7 +18,7 @@
 };
 use crate::counts::{hit, trace};
 
-/// Target is the decision machine of a daemon that makes a call.
+/// Target is the state machine of a daemon that makes a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Target {
     Rack(Name),
@@ -33,7 +33,7 @@
     Sync(Name, Call),
 }
 
-/// Operation is a call in flight from a daemon's decision machine.
+/// Operation is a call in flight from a daemon's state machine.
 #[derive(Clone, Debug)]
 pub(super) struct Operation {
     pub daemon: usize,
@@ -43,8 +43,8 @@
 }
 
 impl Simulation {
-    /// perform_effect sends the call or hint that a decision machine asked for,
-    /// or counts its note.
+    /// perform_effect sends the call or hint that a state machine requests,
+    /// or counts the decision that it logs.
     pub(super) fn perform_effect(
         &mut self,
         daemon: usize,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// deliver_answer gives an answer to the decision machine that made the
+    /// deliver_answer gives an answer to the state machine that made the
     /// call. A frozen daemon receives it when it thaws; one that restarted or
     /// ended never does.
     fn deliver_answer(&mut self, operation: &Operation, event: Event) {
--- a/crates/stackpier-fuzz/src/placement/daemon.rs
+++ b/crates/stackpier-fuzz/src/placement/daemon.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A simulated daemon: its decision machines, and the events that they receive.
+//! A simulated daemon: its state machines, and the events that they receive.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -42,7 +42,7 @@
     },
 };
 
-/// Daemon holds the decision machines of one daemon, and the state that they
+/// Daemon holds the state machines of one daemon, and the state that they
 /// share.
 #[derive(Debug)]
 pub(super) struct Daemon {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// tick gives a tick to all decision machines of a daemon.
+    /// tick gives a tick to all state machines of a daemon.
     pub(super) fn tick(&mut self, number: usize) {
         if self.daemons[number].frozen || self.daemons[number].dead {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// step_machine gives one event to one decision machine of a daemon, and
+    /// step_machine gives one event to one state machine of a daemon, and
     /// performs the effects that it returns.
     pub(super) fn step_machine(&mut self, number: usize, target: Target, event: Event) {
         let time = self.time;
--- a/crates/stackpier-fuzz/src/placement/step.rs
+++ b/crates/stackpier-fuzz/src/placement/step.rs
@@ -24,7 +24,7 @@
 /// calls or messages that exist at that time.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// Give a tick to all decision machines of a daemon.
+    /// Give a tick to all state machines of a daemon.
     Tick(u8),
     /// Let time pass, in milliseconds.
     Wait(u16),
--- a/crates/stackpier-fuzz/tests/cell.rs
+++ b/crates/stackpier-fuzz/tests/cell.rs
@@ -100,7 +100,7 @@
         53, 123, 246, 272, 300, 317, 438, 543, 600, 722, 779, 925, 979, 995, 1057, 1099,
     ];
     let mut violations: Vec<_> = seeds.into_iter().filter_map(run_strict).collect();
-    // In these seeds the oracle is not strict, and two more owners follow.
+    // These two seeds run with an oracle that is not strict, and two more owners follow.
     violations.extend([184, 788].into_iter().filter_map(|seed| {
         let mut simulation = Simulation::new(seed, Faults::all(5), FAULTS_MS);
         simulation.run();
@@ -215,8 +215,8 @@
     "earlier owner sees the next life of a worker that a later one met",
 ];
 
-/// Guards against an earlier owner that acts on the silence of workers: there are two owners at
-/// once, each of which reaches some of the workers.
+/// Guards against a replaced owner that draws conclusions from workers that do not answer it: there
+/// are two owners at once, and each reaches only some of the workers.
 #[test]
 fn cuts_in_series_with_a_take_over() {
     let faults = Faults {
@@ -248,8 +248,8 @@
     assert!(counts["handed over"] > 0, "{counts:?}");
 }
 
-/// Guards against a replaced owner that does not know it, and starts a task that has ended: only
-/// its predecessor knew the end, and has sent it to the newest owner.
+/// Guards against an owner that does not know yet that it was replaced, and starts a task that has
+/// ended: only its predecessor knew of the end, and sent it to the newest owner.
 #[rstest]
 fn ends_known_only_to_the_owner_before_the_predecessor_are_respected() {
     let faults = Faults {
--- a/crates/stackpier-fuzz/tests/common/mod.rs
+++ b/crates/stackpier-fuzz/tests/common/mod.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Shared by the fuzz tests: seeds, numbers of cases, and runs that are expected to fail because
-//! a guard is missing.
+//! a safety rule is disabled.
 
 use proptest::{
     prelude::*,
@@ -9,8 +9,8 @@
 
 /// SEED is the seed unless PROPTEST_RNG_SEED sets another one.
 const SEED: u64 = 20_261;
-/// MAX_UNGUARDED_CASES is how many cases are tried until one shows that a guard is missing.
-const MAX_UNGUARDED_CASES: u32 = 4_000;
+/// MAX_DISABLED_RULE_CASES is how many cases are tried until one shows that a safety rule is disabled.
+const MAX_DISABLED_RULE_CASES: u32 = 4_000;
 
 /// config returns the settings for `cases` cases, or as many as PROPTEST_CASES
 /// sets. Seeds of failures are stored in the file `regressions`.
@@ -41,7 +41,7 @@
     F: Fn(Vec<T>),
 {
     let mut runner = TestRunner::new(ProptestConfig {
-        cases: MAX_UNGUARDED_CASES,
+        cases: MAX_DISABLED_RULE_CASES,
         max_shrink_iters: 0,
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(SEED),
--- a/crates/stackpier-load/src/cell/deployment.rs
+++ b/crates/stackpier-load/src/cell/deployment.rs
@@ -47,9 +47,9 @@
     pub size: (f64, f64),
     /// The largest error of run time estimates, as a share of the work.
     pub estimate_error: f64,
-    /// The factor on the total work of a job's steps in its objective.
+    /// The factor by which the total work of a job's steps is multiplied to get its objective.
     pub stretch: f64,
-    /// A constant that the objective adds, in milliseconds.
+    /// The constant that is then added to the objective, in milliseconds.
     pub target_ms: u32,
     /// The priority of its queue; zero is the highest.
     pub priority: u8,
--- a/crates/stackpier-load/src/cell/job.rs
+++ b/crates/stackpier-load/src/cell/job.rs
@@ -19,7 +19,7 @@
     /// Whether it is completed, failed, cancelled or given up by its client account.
     pub ended: bool,
     /// When its first task started, in milliseconds.
-    pub first_start_ms: Option<u64>,
+    pub first_ms: Option<u64>,
     /// Which tasks of the first step have started, by index.
     pub started: Vec<bool>,
     /// Sums over the samples of a serving job since its value was last credited.
@@ -64,7 +64,7 @@
             sent_ms: now_ms,
             accepted: false,
             ended: false,
-            first_start_ms: None,
+            first_ms: None,
             started: vec![false; width],
             tally: ServingTally::default(),
         }
--- a/crates/stackpier-load/src/cell/outcome.rs
+++ b/crates/stackpier-load/src/cell/outcome.rs
@@ -54,7 +54,7 @@
     pub earned: f64,
     /// The time from each job's submission to its first start, in milliseconds.
     #[serde(skip)]
-    pub first_start_ms: Vec<u64>,
+    pub first_ms: Vec<u64>,
     /// For each job, the time between the starts of the first and the last task of its first step,
     /// in milliseconds.
     #[serde(skip)]
--- a/crates/stackpier-load/src/cell/scenarios.rs
+++ b/crates/stackpier-load/src/cell/scenarios.rs
@@ -88,9 +88,9 @@
         short: goodput(SHORT),
         best_effort: goodput(BEST_EFFORT),
         serving: goodput(SERVING),
-        short_first_p95_ms: times(SHORT, |kind| kind.first_start_ms),
+        short_first_p95_ms: times(SHORT, |kind| kind.first_ms),
         short_spread_p95_ms: times(SHORT, |kind| kind.spread_ms),
-        best_effort_first_p95_ms: times(BEST_EFFORT, |kind| kind.first_start_ms),
+        best_effort_first_p95_ms: times(BEST_EFFORT, |kind| kind.first_ms),
         longest_idle_ms: outcomes
             .iter()
             .map(|outcome| outcome.longest_idle_ms)
--- a/crates/stackpier-load/src/cell/simulation.rs
+++ b/crates/stackpier-load/src/cell/simulation.rs
@@ -331,7 +331,7 @@
         })
     }
 
-    fn is_store_away(&self) -> bool {
+    fn is_store_unavailable(&self) -> bool {
         self.active_faults().any(|fault| fault == Fault::StoreAway)
     }
 }
--- a/crates/stackpier-load/src/cell/simulation/calls.rs
+++ b/crates/stackpier-load/src/cell/simulation/calls.rs
@@ -27,11 +27,11 @@
         match effect {
             Effect::Log(_) | Effect::RequestAdvice(_) | Effect::TakeDown(_) | Effect::Deposed => {}
             Effect::Save(_) => {
-                let saved = !self.is_store_away();
+                let saved = !self.is_store_unavailable();
                 let after = if saved { STORE_MS } else { GIVE_UP_MS };
                 self.schedule(after, ScheduledEvent::Event(Box::new(Event::Saved(saved))));
             }
-            Effect::Confirm if self.is_store_away() => {
+            Effect::Confirm if self.is_store_unavailable() => {
                 self.schedule(GIVE_UP_MS, ScheduledEvent::ConfirmFailed);
             }
             Effect::Confirm => {
@@ -146,7 +146,8 @@
     }
 
     /// deliver_renewal schedules the answer to a lease renewal: at once if an end is not yet
-    /// acknowledged, otherwise when the next run is due to end or the renewal's wait is over.
+    /// acknowledged, otherwise when the next run is due to end, but at the latest after the wait
+    /// that the renewal asks for.
     fn deliver_renewal(&mut self, renewal: Renewal) {
         let index = worker_index(&renewal.address);
         let sent_ms = self.now_ms - CALL_MS;
--- a/crates/stackpier-load/src/cell/simulation/clients.rs
+++ b/crates/stackpier-load/src/cell/simulation/clients.rs
@@ -68,7 +68,7 @@
     /// submit sends a job to the owner. While the store is unavailable the job is refused, and its
     /// client account retries for `PATIENCE_MS`.
     pub(super) fn submit(&mut self, number: u64) {
-        let away = self.is_store_away();
+        let away = self.is_store_unavailable();
         let (now_ms, now) = (self.now_ms, self.now());
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -108,8 +108,8 @@
         self.schedule_cancel(number, stay_ms);
     }
 
-    /// schedule_cancel schedules the cancellation of a serving job at the end of its stay, and of a
-    /// share of the other jobs while `Fault::Cancels` is active.
+    /// schedule_cancel schedules the cancellation of a serving job after `stay_ms`, and of a share
+    /// of the other jobs while `Fault::Cancels` is active.
     fn schedule_cancel(&mut self, number: u64, stay_ms: Option<u64>) {
         let share: f64 = self
             .active_faults()
@@ -148,15 +148,15 @@
             return;
         };
         let kind_outcome = self.outcome.kinds.entry(job.kind.name).or_default();
-        let first_start_ms = *job.first_start_ms.get_or_insert(now_ms);
+        let first_ms = *job.first_ms.get_or_insert(now_ms);
         if task.step > 0 || std::mem::replace(&mut job.started[task.index as usize], true) {
             return;
         }
         if job.started.iter().filter(|started| **started).count() == 1 {
-            kind_outcome.first_start_ms.push(now_ms - job.sent_ms);
+            kind_outcome.first_ms.push(now_ms - job.sent_ms);
         }
         if job.started.iter().all(|started| *started) {
-            kind_outcome.spread_ms.push(now_ms - first_start_ms);
+            kind_outcome.spread_ms.push(now_ms - first_ms);
         }
     }
 
--- a/crates/stackpier-load/tests/patterns.rs
+++ b/crates/stackpier-load/tests/patterns.rs
@@ -19,7 +19,8 @@
 const LENGTH_MS: u64 = 24_000;
 /// SERVING_FLOOR is the minimum goodput of serving jobs, in which harm counts four times.
 const SERVING_FLOOR: f64 = 0.7;
-/// WAIT_MS is the maximum of the short jobs' median time to their first start, in any scenario.
+/// WAIT_MS is the limit of the median time from the submission of a short job to its first start. It
+/// holds in every scenario.
 const WAIT_MS: u64 = 1_000;
 
 #[rstest]
@@ -49,7 +50,7 @@
         let shares = [short.goodput(), best_effort.goodput(), serving.goodput()];
         assert!(shares[1] >= best_effort_floor, "{shares:?}");
         assert!(shares[2] >= SERVING_FLOOR, "{shares:?}");
-        let median_wait_ms = percentile(&short.first_start_ms, 0.5);
+        let median_wait_ms = percentile(&short.first_ms, 0.5);
         assert!(
             median_wait_ms <= WAIT_MS,
             "half of the short jobs wait {median_wait_ms} ms"
