--- a/crates/stackpier-fuzz/src/cell/oracle.rs
+++ b/crates/stackpier-fuzz/src/cell/oracle.rs
@@ -118,7 +118,8 @@
         self.violation.get_or_insert(Violation { at_ms, what });
     }
 
-    /// record_acked records the ends that an owner with a fence acknowledged to a worker.
+    /// record_acked records the ends that an owner with a fence acknowledged to a worker. It
+    /// detects a completed task that was started again before its end was acknowledged.
     pub fn record_acked(&mut self, at_ms: u64, worker: &mut Worker, fence: u64) {
         for end in worker.acked.drain(..) {
             let expired = end.number <= worker.last_end_at_expiry;
@@ -171,8 +172,8 @@
         self.takeovers.push(at_ms);
     }
 
-    /// record_crash_by_task records a start that crashes its worker. `newest` tells whether the
-    /// newest owner ordered it.
+    /// record_crash_by_task records a start that crashes its worker, and detects too many such
+    /// starts of one task. `newest` tells whether the newest owner ordered it.
     pub fn record_crash_by_task(&mut self, at_ms: u64, task: TaskName, newest: bool) {
         let mut crashes = self.crashes.remove(&task).unwrap_or_default();
         let counted = crashes.times.iter().filter(|at| self.is_counted(**at));
--- a/crates/stackpier-fuzz/src/cell/simulation.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation.rs
@@ -281,7 +281,7 @@
         }
     }
 
-    /// take_over starts a new owner in a data centre, which reads the store.
+    /// take_over starts a new owner in a data centre; the owner reads the store.
     /// Earlier owners continue until they learn of it.
     fn take_over(&mut self, data_centre: usize) {
         self.count("takeover");
--- a/crates/stackpier-fuzz/src/cell/simulation/jobs.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/jobs.rs
@@ -122,8 +122,8 @@
         self.deliver(index, event);
     }
 
-    /// watch_stale reports a job to replaced owners through their watch of the store, before
-    /// another watch reports that they were replaced.
+    /// watch_stale reports a job to some of the replaced owners through their watch of the store,
+    /// before another watch reports that they were replaced.
     fn watch_stale(&mut self, accepted: &Event) {
         for index in 0..self.owners.len() - 1 {
             if !self.owners[index].ended
--- a/crates/stackpier-fuzz/src/cell/simulation/saves.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/saves.rs
@@ -7,7 +7,7 @@
 
 /// JOBS_PER_PART is how many jobs one transaction of a split save contains.
 const JOBS_PER_PART: usize = 2;
-/// MAX_PART_MS is the longest time that one transaction takes, on a slow store.
+/// MAX_PART_MS is the longest time that one transaction of a split save takes, on a slow store.
 const MAX_PART_MS: u64 = 300;
 /// LOST_PARTS is how many of a thousand such transactions are lost.
 const LOST_PARTS: u32 = 200;
--- a/crates/stackpier-fuzz/src/cell/simulation/series.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/series.rs
@@ -103,9 +103,10 @@
         !isolated && self.now_ms >= self.cut_until[worker]
     }
 
-    /// record_contact records a report from an incarnation of a worker. It counts
-    /// the answers that reveal to an earlier owner the next incarnation of a worker
-    /// that a later owner has contacted.
+    /// record_contact records a report from an incarnation of a worker. It also
+    /// counts how often a replaced owner that may still act learns from an answer
+    /// that an incarnation from which a later owner had a report was replaced by
+    /// the next one.
     pub(super) fn record_contact(&mut self, owner: usize, order: &Effect, answer: &Event) {
         let incarnation = match order {
             Effect::Start(start) => &start.order.worker_id,
--- a/crates/stackpier-fuzz/src/once/messages.rs
+++ b/crates/stackpier-fuzz/src/once/messages.rs
@@ -91,8 +91,8 @@
     }
 
     /// find_holder returns the holder that runs on the VM of a member, unless
-    /// it is frozen. It may be a later run than the member; the holder itself
-    /// refuses grants and seals that were meant for an earlier run.
+    /// it is frozen. Its process may be a later one than the member's; the holder
+    /// itself refuses grants and seals that were meant for an earlier process.
     fn find_holder(&mut self, member: Member) -> Option<&mut Holder> {
         let found = self
             .daemons
--- a/crates/stackpier-fuzz/src/placement.rs
+++ b/crates/stackpier-fuzz/src/placement.rs
@@ -201,7 +201,8 @@
         }
     }
 
-    /// settle ends all faults and runs rounds until the simulation is at rest.
+    /// settle ends all faults and runs `SETTLE_ROUNDS` rounds, after which the simulation must be
+    /// at rest. The invariants are checked after each round.
     pub fn settle(&mut self) {
         for number in 0..DAEMONS {
             self.thaw_daemon(number);
--- a/crates/stackpier-fuzz/tests/common/mod.rs
+++ b/crates/stackpier-fuzz/tests/common/mod.rs
@@ -9,7 +9,8 @@
 
 /// SEED is the seed unless PROPTEST_RNG_SEED sets another one.
 const SEED: u64 = 20_261;
-/// MAX_DISABLED_RULE_CASES is how many cases are tried until one shows that a safety rule is disabled.
+/// MAX_DISABLED_RULE_CASES is how many cases are tried until one shows that a safety rule is
+/// disabled.
 const MAX_DISABLED_RULE_CASES: u32 = 4_000;
 
 /// config returns the settings for `cases` cases, or as many as PROPTEST_CASES
--- a/crates/stackpier-load/src/cell/pattern.rs
+++ b/crates/stackpier-load/src/cell/pattern.rs
@@ -22,8 +22,8 @@
 pub const SERVING: &str = "route-watch";
 /// BEST_EFFORT_INDEX is the index of the best-effort kind in the deployment's kinds.
 const BEST_EFFORT_INDEX: usize = 1;
-/// USUAL_PAIRS describes the pairs of most scenarios. A good half of the pairs disturb each other, but
-/// with few of them does the start of seven cores raise a load of 0.45 over its limit.
+/// USUAL_PAIRS describes the pairs of most scenarios. A good half of the pairs disturb each other,
+/// but only a few so strongly that a start of seven cores raises a load of 0.45 over its limit.
 const USUAL_PAIRS: Pairs = Pairs {
     heavy_share: 0.25,
     heavy_range: (0.03, 0.06),
--- a/crates/stackpier-load/src/cell/scenarios.rs
+++ b/crates/stackpier-load/src/cell/scenarios.rs
@@ -60,13 +60,13 @@
             let outcomes: Vec<Outcome> = (0..SEEDS)
                 .map(|add| simulate(&scenario, seed + add))
                 .collect();
-            rows.push(row(pattern, known_pairs, &outcomes));
+            rows.push(build_row(pattern, known_pairs, &outcomes));
         }
     }
     table::print(&format!("days of a cell, seed {seed}"), &rows, json)
 }
 
-fn row(pattern: Pattern, known_pairs: bool, outcomes: &[Outcome]) -> Row {
+fn build_row(pattern: Pattern, known_pairs: bool, outcomes: &[Outcome]) -> Row {
     let mean =
         |of: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
     let goodput = |kind: &'static str| mean(&|outcome| outcome.of(kind).goodput());
--- a/crates/stackpier-load/src/cell/simulation.rs
+++ b/crates/stackpier-load/src/cell/simulation.rs
@@ -154,6 +154,7 @@
         simulation
     }
 
+    /// start reports the queues and the workers to the owner, and schedules the first events.
     fn start(&mut self) {
         if self.scenario.known_pairs {
             let snapshot = self.known_pairs();
--- a/crates/stackpier-load/src/cell/simulation/calls.rs
+++ b/crates/stackpier-load/src/cell/simulation/calls.rs
@@ -81,6 +81,9 @@
         self.schedule(after, ScheduledEvent::Event(Box::new(event)));
     }
 
+    /// deliver_start executes a start order at its worker and schedules the answer. The order is
+    /// lost if the worker is cut off, and a share is executed late while `Fault::LateOrders` is
+    /// active.
     fn deliver_start(&mut self, start: Start) {
         let index = worker_index(&start.order.address);
         let run = start.order.key;
@@ -116,6 +119,7 @@
         }
     }
 
+    /// start_run starts a run on a worker, unless the worker refuses it, and counts the start.
     fn start_run(&mut self, start: &Start, index: usize) -> Started {
         let task = start.order.task;
         let job = &self.jobs[&task.job.0];
--- a/crates/stackpier-load/src/cell/simulation/clients.rs
+++ b/crates/stackpier-load/src/cell/simulation/clients.rs
@@ -47,6 +47,7 @@
         (gap / per_s * 1_000.0) as u64 + 1
     }
 
+    /// draw draws a job of the kind with this index, and returns the job's number.
     fn draw(&mut self, index: usize) -> u64 {
         let kind = self.scenario.deployment.kinds[index];
         let drawn = kind.draw(&mut self.random, &self.scenario.deployment.serving);
--- a/crates/stackpier-load/src/cell/timing.rs
+++ b/crates/stackpier-load/src/cell/timing.rs
@@ -42,14 +42,14 @@
     for workers in SIZES {
         let outcome = simulate(&scenario(workers), seed);
         for (event_kind, times) in outcome.step_times {
-            rows.push(row(workers, event_kind, times));
+            rows.push(build_row(workers, event_kind, times));
         }
     }
     table::print(&format!("decisions, seed {seed}"), &rows, json)
 }
 
-/// scenario returns a scenario with a number of workers that are as full as in the heaviest ones.
-/// Arrival rates grow with the number of workers, the jobs waiting from the beginning do not.
+/// scenario returns a scenario without faults, whose workers are as full as those of the heavy
+/// scenarios. Arrival rates grow with the number of workers, the additional waiting jobs do not.
 pub fn scenario(workers: usize) -> Scenario {
     let mut deployment = deployment();
     let times = workers as f64 / deployment.workers as f64;
@@ -69,7 +69,7 @@
     }
 }
 
-fn row(workers: usize, event_kind: EventKind, mut times: Vec<Duration>) -> Row {
+fn build_row(workers: usize, event_kind: EventKind, mut times: Vec<Duration>) -> Row {
     times.sort_unstable();
     let micros = |time: Duration| time.as_secs_f64() * 1_000_000.0;
     let total: Duration = times.iter().sum();
--- a/crates/stackpier-load/tests/patterns.rs
+++ b/crates/stackpier-load/tests/patterns.rs
@@ -19,8 +19,8 @@
 const LENGTH_MS: u64 = 24_000;
 /// SERVING_FLOOR is the minimum goodput of serving jobs, in which harm counts four times.
 const SERVING_FLOOR: f64 = 0.7;
-/// WAIT_MS is the limit of the median time from the submission of a short job to its first start. It
-/// holds in every scenario.
+/// WAIT_MS is the limit, in every scenario, of the median time from the submission of a short job
+/// to its first start.
 const WAIT_MS: u64 = 1_000;
 
 #[rstest]
@@ -65,7 +65,8 @@
 }
 
 /// share_apart returns the share of best-effort starts that went to workers without serving tasks.
-/// No workers are dedicated to short tasks, since such workers have no serving tasks either.
+/// Dedicating workers to short tasks is switched off, since such workers have no serving tasks
+/// either.
 fn share_apart(pattern: Pattern, without: Option<Mechanism>) -> f64 {
     let mut scenario = pattern.scenario();
     let without = without.into_iter().chain([Mechanism::Dedicated]);
--- a/crates/stackpier-standin/src/fleet.rs
+++ b/crates/stackpier-standin/src/fleet.rs
@@ -261,8 +261,8 @@
         self.runs.iter().map(|run| run.behaviour.size).sum()
     }
 
-    /// is_fenced reports whether an order's fence is lower than the highest one so far,
-    /// which it records.
+    /// is_fenced reports whether an order's fence is lower than the highest one so far. A
+    /// higher fence is recorded as the highest.
     fn is_fenced(&mut self, fence: u64) -> bool {
         let fenced = fence < self.fence;
         self.fence = self.fence.max(fence);
