--- a/crates/stackpier-fuzz/src/cell/simulation/series.rs
+++ b/crates/stackpier-fuzz/src/cell/simulation/series.rs
@@ -42,7 +42,7 @@
     /// begin_cut_series isolates a data centre other than the owner's and, before
     /// that cut ends, the owner's. An owner in the third takes over. In some
     /// series, workers of the first data centre crash after the end of its cut. In
-    /// half, the earlier owner can't reach the store for longer than its cut.
+    /// half, the predecessor can't reach the store for longer than its cut.
     pub(super) fn begin_cut_series(&mut self) {
         if self.now_ms < self.series_until {
             return;
@@ -68,7 +68,7 @@
             self.send(second_at, Message::IsolateFromStore(own, ms));
         }
         // A worker that stays up would reveal the successor's fence to the
-        // earlier owner.
+        // predecessor.
         let dead = self.draw_range(0, WORKERS_PER_DATA_CENTRE as u64) as usize;
         for worker in (first * WORKERS_PER_DATA_CENTRE..).take(dead) {
             let crash_at = first_ms + self.draw_range(CRASH_MS.0, CRASH_MS.1);
@@ -103,9 +103,10 @@
         !isolated && self.now_ms >= self.cut_until[worker]
     }
 
-    /// record_contact records a report from an incarnation of a worker. It counts
-    /// the answers that reveal to an earlier owner the next incarnation of a worker
-    /// that a later owner has contacted.
+    /// record_contact records a report from an incarnation of a worker. It also
+    /// counts how often a replaced owner that may still act learns from an answer
+    /// that an incarnation from which a later owner had a report was replaced by
+    /// the next one.
     pub(super) fn record_contact(&mut self, owner: usize, order: &Effect, answer: &Event) {
         let incarnation = match order {
             Effect::Start(start) => &start.order.worker_id,
--- a/crates/stackpier-load/src/cell/scenarios.rs
+++ b/crates/stackpier-load/src/cell/scenarios.rs
@@ -60,13 +60,13 @@
             let outcomes: Vec<Outcome> = (0..SEEDS)
                 .map(|add| simulate(&scenario, seed + add))
                 .collect();
-            rows.push(row(pattern, known_pairs, &outcomes));
+            rows.push(build_row(pattern, known_pairs, &outcomes));
         }
     }
     table::print(&format!("days of a cell, seed {seed}"), &rows, json)
 }
 
-fn row(pattern: Pattern, known_pairs: bool, outcomes: &[Outcome]) -> Row {
+fn build_row(pattern: Pattern, known_pairs: bool, outcomes: &[Outcome]) -> Row {
     let mean =
         |of: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
     let goodput = |kind: &'static str| mean(&|outcome| outcome.of(kind).goodput());
@@ -88,9 +88,9 @@
         short: goodput(SHORT),
         best_effort: goodput(BEST_EFFORT),
         serving: goodput(SERVING),
-        short_first_p95_ms: times(SHORT, |kind| kind.first_start_ms),
+        short_first_p95_ms: times(SHORT, |kind| kind.first_ms),
         short_spread_p95_ms: times(SHORT, |kind| kind.spread_ms),
-        best_effort_first_p95_ms: times(BEST_EFFORT, |kind| kind.first_start_ms),
+        best_effort_first_p95_ms: times(BEST_EFFORT, |kind| kind.first_ms),
         longest_idle_ms: outcomes
             .iter()
             .map(|outcome| outcome.longest_idle_ms)
--- a/crates/stackpier-load/src/cell/simulation.rs
+++ b/crates/stackpier-load/src/cell/simulation.rs
@@ -154,6 +154,7 @@
         simulation
     }
 
+    /// start reports the queues and the workers to the owner, and schedules the first events.
     fn start(&mut self) {
         if self.scenario.known_pairs {
             let snapshot = self.known_pairs();
@@ -331,7 +332,7 @@
         })
     }
 
-    fn is_store_away(&self) -> bool {
+    fn is_store_unavailable(&self) -> bool {
         self.active_faults().any(|fault| fault == Fault::StoreAway)
     }
 }
