--- a/crates/stackpier-cell/src/crash.rs
+++ b/crates/stackpier-cell/src/crash.rs
@@ -48,12 +48,12 @@
 /// starts.
 const QUIET_MS: u64 = 200;
 /// MIN_CRASHES is how many workers must have crashed under a task before it is given up. It is one
-/// more than operators ask for, because the first crash counts against the neighbours too.
+/// more than client accounts ask for, because the first crash counts against the neighbours too.
 const MIN_CRASHES: usize = 3;
 /// MAX_CRASHES is the limit for a task that was not the only possible cause of the last crash, or
-/// whose worker may already have been down when the start was sent. Operators allow two starts
-/// after the third crash; the limit uses one of them and leaves one for a crash that an owner could
-/// not save before it ended.
+/// whose worker may already have been down when the start was sent. Client accounts allow two
+/// starts after the third crash; the limit uses one of them and leaves one for a crash that an
+/// owner could not save before it ended.
 const MAX_CRASHES: usize = 4;
 
 /// Suspect holds the evidence against a task that may crash workers.
--- a/crates/stackpier-cell/src/crash/isolation.rs
+++ b/crates/stackpier-cell/src/crash/isolation.rs
@@ -10,10 +10,10 @@
     worker::Worker,
 };
 
-/// PATIENCE_MS is how long a task under which two workers have crashed waits for a worker on which
-/// every run is cleared or older than [`CLEAR_AFTER_MS`], before it accepts one on which nothing
-/// has begun for [`QUIET_MS`].
-const PATIENCE_MS: u64 = 2_000;
+/// MAX_STRICT_WAIT_MS is how long a task under which two workers have crashed waits for a worker on
+/// which every run is cleared or older than [`CLEAR_AFTER_MS`], before it accepts one on which
+/// nothing has begun for [`QUIET_MS`].
+const MAX_STRICT_WAIT_MS: u64 = 2_000;
 
 /// ANSWERED_MS is how recently a worker must have answered to take the start of a suspect. A worker
 /// that is gone is found silent only after up to 0.7 s, and a start sent to it in that time would
@@ -69,7 +69,7 @@
         };
         let now = self.now.mono;
         let waited = entry.last_ended_at.map_or(0, |at| now.since(at));
-        let strict = suspect.incarnations.len() >= MIN_CRASHES - 1 && waited < PATIENCE_MS;
+        let strict = suspect.incarnations.len() >= MIN_CRASHES - 1 && waited < MAX_STRICT_WAIT_MS;
         let quiet_ms = if strict { CLEAR_AFTER_MS } else { QUIET_MS };
         let began_before = |run: &RunKey| {
             let run = self.runs.get(*run);
--- a/crates/stackpier-cell/src/maintenance/rollout.rs
+++ b/crates/stackpier-cell/src/maintenance/rollout.rs
@@ -15,9 +15,9 @@
 /// the next one begins this long after it went down: that one is then empty when
 /// the first returns.
 pub(super) const LEAD_MS: u64 = 1_000;
-/// HEADROOM is the factor by which more hosts are out of service at once than the
+/// SURPLUS_FACTOR is the factor by which more hosts are out of service at once than the
 /// time left requires, as some wait for others.
-const HEADROOM: f64 = 1.3;
+const SURPLUS_FACTOR: f64 = 1.3;
 
 /// HostKey identifies a host of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -159,7 +159,7 @@
         let open = self.hosts.iter().filter(open).count();
         let left_ms = self.due.since(now).max(1);
         let cycles = (left_ms as f64 / HOST_CYCLE_MS as f64).floor().max(1.0);
-        let wanted = (open as f64 * HEADROOM / cycles).ceil() as usize;
+        let wanted = (open as f64 * SURPLUS_FACTOR / cycles).ceil() as usize;
         wanted.min(self.plan.max_down as usize)
     }
 
--- a/crates/stackpier-cell/src/place/budget.rs
+++ b/crates/stackpier-cell/src/place/budget.rs
@@ -10,8 +10,8 @@
 use stackpier_core::Millis;
 
 /// MAX_PER_CALL is how many ratings one call may do, for guaranteed and for best-effort tasks
-/// each. A step is tried whole, so a call may do more. A call took 2.8 ms at most on 2,000
-/// workers, measured with the load tool's `steps`, and 182 ms without a limit.
+/// each. A step is tried whole, so a call may do more. A call takes up to 2.8 ms on 2,000
+/// workers, and 182 ms without a limit.
 const MAX_PER_CALL: i64 = 6_000;
 /// MAX_SAVED_MS is the time for which unused ratings are saved up.
 const MAX_SAVED_MS: i64 = 100;
--- a/crates/stackpier-coordination/src/accept.rs
+++ b/crates/stackpier-coordination/src/accept.rs
@@ -65,11 +65,12 @@
             return Err(Error::new(Kind::Conflict, text));
         }
         let mut next = page.clone();
-        next.put(self.object(old)?);
+        next.put(self.build_object(old)?);
         Ok(Some(next))
     }
 
-    fn object(&self, old: Option<&Object>) -> Result<Object> {
+    /// build_object returns the intent's object after the change.
+    fn build_object(&self, old: Option<&Object>) -> Result<Object> {
         let mut submissions = old.map_or_else(Vec::new, |old| old.submissions.clone());
         submissions.push(self.submission);
         let excess = submissions.len().saturating_sub(KEPT_SUBMISSIONS);
@@ -77,8 +78,8 @@
         let version = old.map_or(0, |old| old.version) + 1;
         match &self.wanted {
             Wanted::Submit(intent) => Ok(Object {
-                job: self.job(old),
-                generation: generation(old),
+                job: self.job_key(old),
+                generation: next_generation(old),
                 version,
                 submissions,
                 cancelled: false,
@@ -97,9 +98,9 @@
         }
     }
 
-    /// job returns the key of the intent's job, which stays the same until the
+    /// job_key returns the key of the intent's job, which stays the same until the
     /// intent is cancelled. One submitted again after that is a new job.
-    fn job(&self, old: Option<&Object>) -> Job {
+    fn job_key(&self, old: Option<&Object>) -> Job {
         match old.filter(|old| !old.cancelled) {
             Some(old) => old.job,
             None => Job((self.submission ^ (self.submission >> 64)) as u64),
@@ -107,9 +108,9 @@
     }
 }
 
-/// generation returns the intent's generation, which increases when a cancelled
+/// next_generation returns the intent's new generation, which increases when a cancelled
 /// intent is submitted again.
-fn generation(old: Option<&Object>) -> u32 {
+fn next_generation(old: Option<&Object>) -> u32 {
     old.map_or(1, |old| old.generation + u32::from(old.cancelled))
 }
 
@@ -129,8 +130,11 @@
 #[derive(Debug)]
 pub struct Acceptance {
     change: Change,
+    /// The page of the pending swap.
     written: Option<Shard>,
+    /// Whether the outcome of any swap is unknown.
     unclear: bool,
+    /// The number of swaps so far.
     rounds: u32,
 }
 
@@ -151,11 +155,13 @@
         let (revision, page) = match fetched {
             Fetched::Found(revision, Page::Intents(page)) => (revision, page),
             Fetched::Absent => (ABSENT, Shard::default()),
-            Fetched::Found(..) | Fetched::Failed => return self.fail("the store gave no answer"),
+            Fetched::Found(..) | Fetched::Failed => {
+                return self.fail("the store gave no answer");
+            }
         };
         match self.change.apply(&page) {
             Err(error) => Next::Answer(Err(error), None),
-            Ok(None) => self.accepted(revision, page),
+            Ok(None) => self.answer_accepted(revision, page),
             Ok(Some(mut next)) => {
                 next.write = writer.number();
                 self.written = Some(next.clone());
@@ -168,7 +174,7 @@
     pub fn swapped(&mut self, swap: Swapped) -> Next {
         self.rounds += 1;
         if let (Swapped::Won(revision), Some(page)) = (swap, self.written.take()) {
-            return self.accepted(revision, page);
+            return self.answer_accepted(revision, page);
         }
         self.unclear |= swap == Swapped::Unclear;
         if self.rounds >= MAX_ROUNDS {
@@ -177,12 +183,14 @@
         Next::Read
     }
 
-    fn accepted(&self, revision: Revision, page: Shard) -> Next {
+    fn answer_accepted(&self, revision: Revision, page: Shard) -> Next {
         let name = self.change.name();
         let version = page.object(name).map_or(0, |object| object.version);
         Next::Answer(Ok(Accepted { name, version }), Some((revision, page)))
     }
 
+    /// fail refuses the change. It may still have been made if the outcome of a swap
+    /// is unknown.
     fn fail(&self, text: &str) -> Next {
         let kind = match self.unclear {
             true => Kind::WriteUnknown,
--- a/crates/stackpier-coordination/src/effect.rs
+++ b/crates/stackpier-coordination/src/effect.rs
@@ -24,7 +24,8 @@
     Swap(Key, Revision, Page),
     /// Call a worker. Answered by [`Event::Synced`].
     Sync(Name, Call),
-    /// Send a hint to the daemons of the data centre, this one included.
+    /// Send a hint to the daemon that it concerns, which may be this one, or to
+    /// all daemons of the data centre.
     Hint(Hint),
     /// Log a decision.
     Note(Note),
--- a/crates/stackpier-coordination/src/membership.rs
+++ b/crates/stackpier-coordination/src/membership.rs
@@ -118,6 +118,7 @@
         }
     }
 
+    /// record_contact records that a message of a daemon's boot arrived.
     fn record_contact(&mut self, now: Millis, from: Member, data_centre: Name, leaving: bool) {
         let before = self.daemons.get(&from.vm).copied();
         let known = before.map_or(from.boot, |daemon| daemon.boot);
@@ -271,6 +272,7 @@
     }
 }
 
+/// worse returns the standing of the two that is nearer to gone.
 fn worse(one: Standing, other: Standing) -> Standing {
     let rank = |standing: Standing| match standing {
         Standing::Live => 0,
--- a/crates/stackpier-coordination/src/once.rs
+++ b/crates/stackpier-coordination/src/once.rs
@@ -114,8 +114,10 @@
 /// Once is the state machine for one request.
 #[derive(Debug)]
 pub struct Once {
+    /// The queries without an answer, in their order; the first one is pending.
     asks: VecDeque<Ask>,
     first: bool,
+    /// The holder that made, or may have made, the grant.
     granted: Option<Member>,
     holder_mismatch: bool,
 }
@@ -142,6 +144,7 @@
         (once, progress)
     }
 
+    /// plan queues the queries that the request needs.
     fn plan(&mut self, key: Key, setting: Setting<'_>, options: Options) {
         if setting.first {
             self.plan_here(key, setting, options);
@@ -156,6 +159,8 @@
         }
     }
 
+    /// plan_here queues the queries in the own data centre: seals at the holders
+    /// that earlier versions of the map name, then a grant at the newest.
     fn plan_here(&mut self, key: Key, setting: Setting<'_>, options: Options) {
         self.asks
             .extend(earlier_seals(key, setting.map, options, Closing::Moved));
@@ -210,6 +215,8 @@
         self.holder_mismatch
     }
 
+    /// continue_after processes the record of an earlier holder, which ends the
+    /// queries unless the key has moved on.
     fn continue_after(&mut self, record: Record) -> Progress {
         match record {
             Record::Moved => self.advance(),
@@ -217,6 +224,7 @@
         }
     }
 
+    /// advance returns the next query, or the decision if none is left.
     fn advance(&mut self) -> Progress {
         match (self.asks.front(), self.granted) {
             (Some(ask), _) => Progress::Ask(ask.clone()),
@@ -225,6 +233,7 @@
         }
     }
 
+    /// decide_found decides by a record that was found for the key.
     fn decide_found(&mut self, record: Record) -> Progress {
         let verdict = match record {
             Record::Done(reply) => Verdict::Repeat(reply),
--- a/crates/stackpier-coordination/src/owner.rs
+++ b/crates/stackpier-coordination/src/owner.rs
@@ -106,16 +106,21 @@
     /// The worker's lease is not renewed before the page shows them as ended:
     /// otherwise such a run could start during the swap.
     expiring: BTreeMap<Name, BTreeSet<Run>>,
+    /// Shards of homes that have to be read.
     dirty: BTreeSet<u16>,
     /// Claims received from placers and not yet written to the page.
     unwritten: Vec<Claims>,
     /// Claims that the pending swap writes.
     writing: Vec<Claims>,
+    /// Whether the page has to be read again.
     stale: bool,
+    /// When the last sweep was made.
     swept: Option<Millis>,
+    /// When the last swap was requested.
     committed: Option<Millis>,
     /// The current term, and since when no other daemon can renew leases.
     sole_since: Option<(u64, Millis)>,
+    /// This daemon promises not to renew under terms below this one.
     renounced: Option<u64>,
     report: RackReport,
 }
@@ -191,6 +196,7 @@
         self.page.as_ref().map(|(_, page)| page)
     }
 
+    /// advance requests the next read or swap, if it is due.
     fn advance(
         &mut self,
         now: Millis,
@@ -210,6 +216,8 @@
         self.try_swap(now, table, writer, effects);
     }
 
+    /// sweep has the page read again, and repeats the hints that may have been
+    /// lost.
     fn sweep(&mut self, now: Millis, table: &Table, effects: &mut Vec<Effect>) {
         let due = self
             .swept
--- a/crates/stackpier-coordination/src/owner/calls.rs
+++ b/crates/stackpier-coordination/src/owner/calls.rs
@@ -16,6 +16,8 @@
 const URGENT_GAP_MS: u64 = 20;
 
 impl Owner {
+    /// receive_reply records a worker's reply, unless it is older than the last
+    /// one of the same boot. `None` means that the worker did not answer.
     pub(super) fn receive_reply(
         &mut self,
         now: Millis,
@@ -45,6 +47,8 @@
         self.learn(now, worker, &reply.usage, effects);
     }
 
+    /// call_workers calls the workers whose call is due, if this daemon renews
+    /// the rack's leases.
     pub(super) fn call_workers(&mut self, now: Millis, table: &Table, effects: &mut Vec<Effect>) {
         if !self.renews() {
             self.contacts.clear();
@@ -68,7 +72,7 @@
                 last_contact: now,
                 ..Contact::default()
             });
-            if !due(now, page, worker, contact, self.options.sync_ms) {
+            if !is_due(now, page, worker, contact, self.options.sync_ms) {
                 continue;
             }
             contact.calling = true;
@@ -78,40 +82,40 @@
                     .is_some_and(|row| row.phase == Phase::Running)
             };
             self.evict.retain(open);
-            let mut call = call(page, worker, contact, term, self.options.lease_ms);
+            let mut call = build_call(page, worker, contact, term, self.options.lease_ms);
             if self.expiring.contains_key(&worker.name) {
-                call = probe(&call);
+                call = build_probe(&call);
             }
             effects.push(Effect::Sync(worker.name, call));
         }
     }
 }
 
-/// due reports whether a worker should be called now: after `sync_ms`, or after
+/// is_due reports whether a worker should be called now: after `sync_ms`, or after
 /// URGENT_GAP_MS if it has runs to start or stop.
-fn due(now: Millis, page: &Rack, worker: &Worker, contact: &Contact, sync_ms: u64) -> bool {
+fn is_due(now: Millis, page: &Rack, worker: &Worker, contact: &Contact, sync_ms: u64) -> bool {
     if contact.calling {
         return false;
     }
     let passed = |wait_ms| contact.called.is_none_or(|at| now.since(at) >= wait_ms);
-    passed(sync_ms) || (passed(URGENT_GAP_MS) && urgent(page, worker, contact))
+    passed(sync_ms) || (passed(URGENT_GAP_MS) && has_urgent_runs(page, worker, contact))
 }
 
-/// urgent reports whether a worker has runs to start or stop.
-fn urgent(page: &Rack, worker: &Worker, contact: &Contact) -> bool {
+/// has_urgent_runs reports whether a worker has runs to start or stop.
+fn has_urgent_runs(page: &Rack, worker: &Worker, contact: &Contact) -> bool {
     if contact.boot != worker.boot || contact.called.is_some_and(|at| at > contact.last_contact) {
         return false;
     }
     page.live(worker.name).any(|row| match row.phase {
-        Phase::Running => to_start(row, contact),
+        Phase::Running => must_start(row, contact),
         Phase::Stopping => !contact.ended.contains_key(&row.run),
         Phase::Ended(_) => false,
     })
 }
 
-/// probe returns a call that requests the worker's reply and changes nothing on
+/// build_probe returns a call that only requests the worker's reply and changes nothing on
 /// it: without the boot it renews no lease.
-fn probe(call: &Call) -> Call {
+fn build_probe(call: &Call) -> Call {
     Call {
         boot: Boot::default(),
         start: Vec::new(),
@@ -122,12 +126,14 @@
     }
 }
 
-fn to_start(row: &Row, contact: &Contact) -> bool {
+/// must_start reports whether the worker has not yet reported a row's run, neither
+/// as running nor as ended.
+fn must_start(row: &Row, contact: &Contact) -> bool {
     !contact.running.contains(&row.run) && !contact.ended.contains_key(&row.run)
 }
 
-/// call builds the call to a worker from the page and the last reply.
-fn call(page: &Rack, worker: &Worker, contact: &Contact, term: u64, lease_ms: u64) -> Call {
+/// build_call returns the call to a worker from the page and the last reply.
+fn build_call(page: &Rack, worker: &Worker, contact: &Contact, term: u64, lease_ms: u64) -> Call {
     let mut call = Call {
         boot: Boot::default(),
         term,
@@ -144,7 +150,7 @@
     call.boot = worker.boot;
     for row in page.live(worker.name) {
         match row.phase {
-            Phase::Running if to_start(row, contact) => call.start.push(Start {
+            Phase::Running if must_start(row, contact) => call.start.push(Start {
                 run: row.run,
                 work: row.work,
                 checkpoint: row.checkpoint,
--- a/crates/stackpier-coordination/src/owner/commit.rs
+++ b/crates/stackpier-coordination/src/owner/commit.rs
@@ -38,6 +38,8 @@
         self.committed.is_none_or(|at| now.since(at) >= interval)
     }
 
+    /// try_swap updates a copy of the page with what the owner knows, and
+    /// requests its swap if it differs from the page.
     pub(super) fn try_swap(
         &mut self,
         now: Millis,
@@ -76,6 +78,7 @@
         effects.push(Effect::Swap(Key::Rack(self.rack), revision, page));
     }
 
+    /// finish_swap processes the outcome of the pending swap.
     pub(super) fn finish_swap(
         &mut self,
         now: Millis,
--- a/crates/stackpier-coordination/src/owner/contact.rs
+++ b/crates/stackpier-coordination/src/owner/contact.rs
@@ -17,8 +17,11 @@
     pub(super) last_contact: Millis,
     pub(super) running: BTreeSet<Run>,
     pub(super) ended: BTreeMap<Run, Outcome>,
+    /// Whether a call is awaiting its reply.
     pub(super) calling: bool,
+    /// When the last call was sent.
     pub(super) called: Option<Millis>,
+    /// The largest slowdown in the last reply, in thousandths.
     pub(super) slowdown_milli: u32,
     pub(super) history: History,
     /// Clock of the newest usage sample that the model has observed.
--- a/crates/stackpier-coordination/src/owner/messages.rs
+++ b/crates/stackpier-coordination/src/owner/messages.rs
@@ -13,6 +13,7 @@
 use crate::effect::Effect;
 
 impl Owner {
+    /// receive_hint processes a hint if it concerns this rack.
     pub(super) fn receive_hint(&mut self, hint: Hint) {
         match hint {
             Hint::Claims(claims) if claims.rack == self.rack => self.receive_claims(claims),
--- a/crates/stackpier-coordination/src/owner/read.rs
+++ b/crates/stackpier-coordination/src/owner/read.rs
@@ -27,6 +27,7 @@
 pub(super) type Snapshots = BTreeMap<u16, (Revision, homes::Shard)>;
 
 impl Owner {
+    /// receive_page processes the rack's page that was read.
     pub(super) fn receive_page(
         &mut self,
         now: Millis,
@@ -68,6 +69,8 @@
         self.page = Some((revision, page));
     }
 
+    /// receive_homes collects a shard of homes that was read. One that could not
+    /// be read is read again later.
     pub(super) fn receive_homes(&mut self, shard: u16, fetched: Fetched) {
         let Step::Reading(reading) = &mut self.step else {
             return;
@@ -88,6 +91,7 @@
         }
     }
 
+    /// read_homes requests the shards of homes that have to be read.
     pub(super) fn read_homes(&mut self, table: &Table, effects: &mut Vec<Effect>) {
         if self.dirty.is_empty() {
             return;
--- a/crates/stackpier-coordination/src/owner/report.rs
+++ b/crates/stackpier-coordination/src/owner/report.rs
@@ -16,6 +16,7 @@
 const MAX_MISSED_SYNCS: u64 = 3;
 
 impl Owner {
+    /// update_report builds the report, and numbers it as a new one if it changed.
     pub(super) fn update_report(&mut self, now: Millis) {
         let Some((_, page)) = &self.page else { return };
         let workers = page
@@ -38,6 +39,8 @@
         }
     }
 
+    /// worker_report returns the report on a worker, or `None` if it was not called
+    /// yet, does not answer, or its breaker is open because runs failed.
     pub(super) fn worker_report(
         &self,
         now: Millis,
@@ -61,6 +64,9 @@
         })
     }
 
+    /// endpoint returns the endpoint of a row, if it is a service task that its
+    /// worker reported as running, and neither the task is being stopped nor the
+    /// worker is leaving or gone.
     pub(super) fn endpoint(&self, page: &Rack, row: &Row) -> Option<Endpoint> {
         let up = page.worker(row.worker)?.condition == Condition::Up;
         let runs = self.contacts.get(&row.worker)?.running.contains(&row.run);
--- a/crates/stackpier-coordination/src/owner/revise.rs
+++ b/crates/stackpier-coordination/src/owner/revise.rs
@@ -168,6 +168,9 @@
         next.drop_rows(claims.shard, claims.revision, released);
     }
 
+    /// settle_home commits a home's claim on this rack, or records its run as
+    /// refused. If the run is already on the page, only a requested stop is
+    /// applied.
     pub(super) fn settle_home(&self, now: Millis, home: &homes::Home, next: &mut Rack) {
         let claim = home.claim().filter(|claim| claim.rack == self.rack);
         let Some(claim) = claim else { return };
@@ -196,6 +199,7 @@
     }
 }
 
+/// set_leaving marks a worker as leaving and stops its runs.
 fn set_leaving(next: &mut Rack, name: Name) {
     if let Some(worker) = next.worker_mut(name)
         && worker.condition == Condition::Up
@@ -208,6 +212,7 @@
     }
 }
 
+/// set_gone marks a worker as gone and ends its runs.
 fn set_gone(next: &mut Rack, name: Name) {
     if let Some(worker) = next.worker_mut(name) {
         worker.condition = Condition::Gone;
--- a/crates/stackpier-coordination/src/placer.rs
+++ b/crates/stackpier-coordination/src/placer.rs
@@ -92,8 +92,11 @@
     unwritten: Ends,
     /// Ended runs that the pending swap writes.
     writing: Ends,
+    /// Whether the page has to be read again.
     stale: bool,
+    /// When the last sweep was made.
     swept: Option<Millis>,
+    /// When the last swap was requested.
     committed: Option<Millis>,
     /// Versions of the intents and the page at the last placement attempt.
     seen: Option<Seen>,
@@ -162,6 +165,8 @@
         self.stale = false;
     }
 
+    /// advance requests the next read or swap if it is due and this daemon normally
+    /// places the shard.
     fn advance(
         &mut self,
         now: Millis,
--- a/crates/stackpier-coordination/src/placer/claim.rs
+++ b/crates/stackpier-coordination/src/placer/claim.rs
@@ -37,9 +37,9 @@
     if waiting.is_empty() {
         return;
     }
-    waiting.sort_by_key(|place| order(view.catalogue, &next.homes[*place]));
+    waiting.sort_by_key(|place| order_of(view.catalogue, &next.homes[*place]));
     let mut offers = list_offers(view, next);
-    let excess = excess(view);
+    let excess = combine_estimates(view);
     for place in waiting {
         let home = &mut next.homes[place];
         let choices = fill_candidates(&offers, &excess, &home.work);
@@ -50,7 +50,7 @@
                     worker: chosen.worker,
                     stop: false,
                 });
-                occupy(&mut offers, &chosen, &home.work);
+                deduct(&mut offers, &chosen, &home.work);
             }
             None => effects.push(Effect::Note(Note::Unplaced(home.run()))),
         }
@@ -61,7 +61,7 @@
 /// priority, then the earliest deadline.
 type Order = (bool, u16, u64, key::Task);
 
-fn order(catalogue: &Catalogue, home: &Home) -> Order {
+fn order_of(catalogue: &Catalogue, home: &Home) -> Order {
     let object = catalogue.object(home.work.name);
     let priority = object.map_or(0, |object| object.intent.priority);
     let deadline = match object.map(|object| &object.intent.kind) {
@@ -73,13 +73,15 @@
 }
 
 /// Offer is a candidate with the intents of this shard's tasks on it and the
-/// services that run on it.
+/// services_on that run on it.
 struct Offer {
     candidate: Candidate,
     names: Vec<Name>,
     services: Vec<Name>,
 }
 
+/// list_offers returns an offer for each reported worker that is not leaving or
+/// gone.
 fn list_offers(view: View<'_>, next: &Shard) -> Vec<Offer> {
     let mut offers = Vec::new();
     for report in view.racks.values() {
@@ -99,7 +101,7 @@
                     same_on_worker: 0,
                 },
                 names: Vec::new(),
-                services: services(report, worker.worker),
+                services: services_on(report, worker.worker),
             });
         }
     }
@@ -118,9 +120,9 @@
 /// Excess maps pairs to the slowdown that the batch job adds, in thousandths.
 type Excess = BTreeMap<Pair, u32>;
 
-/// excess combines the estimates of the owners of racks. Of two estimates of a
+/// combine_estimates combines the estimates of the owners of racks. Of two estimates of a
 /// pair the one with the smaller deviation is used.
-fn excess(view: View<'_>) -> Excess {
+fn combine_estimates(view: View<'_>) -> Excess {
     let mut best: BTreeMap<Pair, PairReport> = BTreeMap::new();
     for report in view.racks.values().flat_map(|report| &report.pairs) {
         let pair = Pair {
@@ -137,8 +139,8 @@
         .collect()
 }
 
-/// services returns the services that run on a worker.
-fn services(report: &RackReport, worker: Name) -> Vec<Name> {
+/// services_on returns the services that run on a worker.
+fn services_on(report: &RackReport, worker: Name) -> Vec<Name> {
     let here = report
         .endpoints
         .iter()
@@ -177,7 +179,9 @@
     offers.iter().map(filled).collect()
 }
 
-fn occupy(offers: &mut [Offer], chosen: &Candidate, work: &Work) {
+/// deduct subtracts a task from the free capacity of the worker that it has
+/// claimed.
+fn deduct(offers: &mut [Offer], chosen: &Candidate, work: &Work) {
     let found = offers
         .iter_mut()
         .find(|offer| offer.candidate.worker == chosen.worker);
--- a/crates/stackpier-coordination/src/placer/commit.rs
+++ b/crates/stackpier-coordination/src/placer/commit.rs
@@ -32,6 +32,8 @@
         interval_ms(self.options.commit_ms, urgent || self.urgent)
     }
 
+    /// try_swap updates a copy of the page, places its waiting tasks, and requests
+    /// the swap if the copy differs from the page.
     pub(super) fn try_swap(
         &mut self,
         now: Millis,
@@ -79,6 +81,7 @@
         effects.push(Effect::Swap(key, revision, page));
     }
 
+    /// finish_swap processes the outcome of the pending swap.
     pub(super) fn finish_swap(&mut self, swap: Swapped, effects: &mut Vec<Effect>) {
         let Step::Swapping(next) = std::mem::replace(&mut self.step, Step::Idle) else {
             return;
--- a/crates/stackpier-coordination/src/placer/wanted.rs
+++ b/crates/stackpier-coordination/src/placer/wanted.rs
@@ -34,7 +34,7 @@
             };
             wanted.insert(job, count);
             for index in 0..count {
-                let work = work(object, key::Task { job, index });
+                let work = build_work(object, key::Task { job, index });
                 match places.get(&work.task) {
                     Some(place) => update_home(&mut next.homes[*place], work),
                     None => next.homes.push(Home::new(work)),
@@ -46,15 +46,15 @@
             let shrunk = wanted
                 .get(&task.job)
                 .is_some_and(|count| task.index >= *count);
-            if shrunk || superseded(view.catalogue, home) {
+            if shrunk || is_superseded(view.catalogue, home) {
                 cancel_home(home);
             }
         }
     }
 }
 
-/// work returns the description of a task that its worker receives.
-fn work(object: &Object, task: key::Task) -> Work {
+/// build_work returns the description of a task that its worker receives.
+fn build_work(object: &Object, task: key::Task) -> Work {
     let (class, run_time_ms) = match &object.intent.kind {
         Kind::Service(_) => (Class::Service, 0),
         Kind::Batch(batch) => (Class::Batch, batch.run_time_ms),
@@ -70,8 +70,8 @@
     }
 }
 
-/// superseded reports whether a later job uses the name of a home's job.
-fn superseded(catalogue: &Catalogue, home: &Home) -> bool {
+/// is_superseded reports whether a later job uses the name of a home's job.
+fn is_superseded(catalogue: &Catalogue, home: &Home) -> bool {
     let object = catalogue.object(home.work.name);
     object.is_some_and(|object| object.generation > home.work.generation)
 }
--- a/crates/stackpier-coordination/src/reaction.rs
+++ b/crates/stackpier-coordination/src/reaction.rs
@@ -121,7 +121,7 @@
         if slowdown > options.high {
             self.calms = 0;
             self.breaches += 1;
-            return self.breached(now, suspects, options, budget);
+            return self.react_to_breach(now, suspects, options, budget);
         }
         self.breaches = 0;
         self.calms = if slowdown < options.low {
@@ -136,7 +136,9 @@
         self.throttled.pop_first().map(Action::Release)
     }
 
-    fn breached(
+    /// react_to_breach throttles the worst suspect, or evicts it if it is already
+    /// throttled and the budget allows it.
+    fn react_to_breach(
         &mut self,
         now: Millis,
         suspects: &[Suspect],
--- a/crates/stackpier-state/src/rack.rs
+++ b/crates/stackpier-state/src/rack.rs
@@ -15,7 +15,8 @@
     work::{Checkpoint, Outcome, Run, Work},
 };
 
-/// Renewer is the one daemon that may renew leases in the rack.
+/// Renewer is a daemon that renews the leases in the rack, or did so under an earlier
+/// term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewer {
     /// Name of the daemon's VM.
--- a/crates/stackpierd/src/heartbeat.rs
+++ b/crates/stackpierd/src/heartbeat.rs
@@ -174,7 +174,7 @@
 /// send_heartbeats sends one round of heartbeats and handles the replies. Only
 /// daemons of the own data centre get reports and promises on racks.
 fn send_heartbeats<B: Backend>(daemon: &Daemon<B>, round: usize, receipts: &mut Receipts) {
-    let (local, remote) = targets(daemon, round);
+    let (local, remote) = choose_targets(daemon, round);
     let full = build_heartbeat(daemon, true);
     let brief = build_heartbeat(daemon, false);
     let local = local.into_iter().map(|address| {
@@ -205,9 +205,12 @@
     }
 }
 
-/// targets returns the daemons of the own data centre, and one daemon of each
+/// choose_targets returns the daemons of the own data centre, and one daemon of each
 /// other data centre.
-fn targets<B: Backend>(daemon: &Daemon<B>, round: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+fn choose_targets<B: Backend>(
+    daemon: &Daemon<B>,
+    round: usize,
+) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
     let table = lock(&daemon.table);
     let here = table.data_centre();
     let mut local = Vec::new();
@@ -225,6 +228,8 @@
     (local, remote.collect())
 }
 
+/// build_heartbeat returns a heartbeat, with reports and promises on racks if it is
+/// `full`.
 fn build_heartbeat<B: Backend>(daemon: &Daemon<B>, full: bool) -> Heartbeat {
     let sum = lock(&daemon.catalogue).digest().sum();
     let holders = lock(&daemon.holder).map().number();
@@ -244,6 +249,7 @@
     }
 }
 
+/// handle_reply records a reply, and fetches intents pages if the peer's differ.
 fn handle_reply<B: Backend>(daemon: &Daemon<B>, address: SocketAddr, reply: &HeartbeatReply) {
     lock(&daemon.table).record_reply(clock::now(), reply);
     let sum = lock(&daemon.catalogue).digest().sum();
--- a/crates/stackpierd/src/holders.rs
+++ b/crates/stackpierd/src/holders.rs
@@ -61,6 +61,7 @@
 }
 
 impl<B: Backend> Maintainer<'_, B> {
+    /// run_round reads and updates the map if that is due, and drops old records.
     fn run_round(&mut self) {
         let now = clock::now();
         let daemon = self.daemon;
@@ -97,6 +98,8 @@
         earlier.clone().any(open)
     }
 
+    /// update reads the map and revises it. `may_renew` tells whether a version with
+    /// the live daemons may be added.
     fn update(&self, may_renew: bool) {
         match self
             .daemon
@@ -126,6 +129,8 @@
         }
     }
 
+    /// revise adopts the map that was read, acknowledges its newest version, and
+    /// writes the map if it changed.
     fn revise(&self, revision: Revision, map: Map, may_renew: bool) {
         let daemon = self.daemon;
         // From here on this daemon grants no key under an earlier version. So the
--- a/crates/stackpierd/src/intents.rs
+++ b/crates/stackpierd/src/intents.rs
@@ -36,7 +36,7 @@
             read_all(&watching);
             let mut seen = Seen::default();
             loop {
-                watch(&watching, &mut seen);
+                watch_index(&watching, &mut seen);
                 thread::sleep(WATCH_PAUSE);
             }
         })?;
@@ -61,7 +61,8 @@
     index: Index,
 }
 
-fn watch<B: Backend>(daemon: &Daemon<B>, seen: &mut Seen) {
+/// watch_index waits for a change of the index and reads the pages that changed.
+fn watch_index<B: Backend>(daemon: &Daemon<B>, seen: &mut Seen) {
     daemon.metrics.store_reads.add(1, &[]);
     let Some(revision) = daemon.backend.watch(Key::Index, seen.revision, WATCH_MS) else {
         return;
--- a/crates/stackpierd/src/main.rs
+++ b/crates/stackpierd/src/main.rs
@@ -57,7 +57,7 @@
 }
 
 fn main() -> Result<()> {
-    match parse()? {
+    match parse_command()? {
         Command::Print(text) => {
             print!("{text}");
             Ok(())
@@ -71,7 +71,8 @@
     }
 }
 
-fn parse() -> Result<Command> {
+/// parse_command reads the command line.
+fn parse_command() -> Result<Command> {
     let mut parser = Parser::from_env();
     let Some(arg) = parser.next()? else {
         bail!("--settings FILE is needed\n{HELP}");
@@ -87,6 +88,7 @@
     })
 }
 
+/// run starts the daemon and serves callers until a planned stop.
 fn run(settings: Settings) -> Result<()> {
     let (log, guard) = logging::build_logger(&settings);
     let bind = |name: &str, address| {
--- a/crates/stackpierd/src/request/dispatch.rs
+++ b/crates/stackpierd/src/request/dispatch.rs
@@ -175,6 +175,7 @@
 }
 
 impl<B: Backend> Delivery<B> {
+    /// exchange sends the request to its upstream and waits for the answer.
     fn exchange(&self, started: Millis) -> Sent {
         let endpoint = self.slot.endpoint;
         let address = {
--- a/crates/stackpierd/src/request/keyed.rs
+++ b/crates/stackpierd/src/request/keyed.rs
@@ -76,9 +76,9 @@
         let mut rounds = 0;
         loop {
             let by = self.new_grantee();
-            let (verdict, out_of_step) = self.try_decide(call, key, by);
+            let (verdict, holder_mismatch) = self.try_decide(call, key, by);
             rounds += 1;
-            if !out_of_step || rounds >= MAX_ROUNDS || clock::now() >= call.deadline {
+            if !holder_mismatch || rounds >= MAX_ROUNDS || clock::now() >= call.deadline {
                 return (verdict, by);
             }
             thread::sleep(ROUND_PAUSE);
--- a/crates/stackpierd/src/scheduler.rs
+++ b/crates/stackpierd/src/scheduler.rs
@@ -43,7 +43,7 @@
 /// Input is a message to the scheduler's thread.
 #[derive(Debug)]
 pub enum Input {
-    /// The outcome of an effect, for the state machine that asked for it.
+    /// The outcome of an effect, for the state machine that requested it.
     Event(Target, Event),
     /// A hint that a page changed.
     Hint(Hint),
@@ -81,6 +81,8 @@
     Ok(())
 }
 
+/// perform carries out an operation and returns the event for the state machine that
+/// requested it.
 fn perform<B: Backend>(daemon: &Daemon<B>, operation: Operation) -> (Target, Event) {
     match operation {
         Operation::Read(target, key) => {
@@ -96,12 +98,17 @@
         }
         Operation::Sync(target, worker, call) => {
             daemon.metrics.worker_calls.add(1, &[]);
-            (target, Event::Synced(worker, sync(daemon, worker, &call)))
+            (
+                target,
+                Event::Synced(worker, call_worker(daemon, worker, &call)),
+            )
         }
     }
 }
 
-fn sync<B: Backend>(daemon: &Daemon<B>, worker: Name, call: &Call) -> Option<Reply> {
+/// call_worker calls a worker. It returns `None` if the worker is not listed or does
+/// not answer.
+fn call_worker<B: Backend>(daemon: &Daemon<B>, worker: Name, call: &Call) -> Option<Reply> {
     let address = {
         let table = lock(&daemon.table);
         table.vm(worker).map(|vm| vm.address.clone())
@@ -174,6 +181,8 @@
         }
     }
 
+    /// tick passes the time to all state machines, and adds owners for racks that are
+    /// new on the list.
     fn tick(&mut self) {
         let racks = lock(&self.daemon.table).racks();
         for rack in racks {
--- a/crates/stackpierd/src/settings/check.rs
+++ b/crates/stackpierd/src/settings/check.rs
@@ -28,14 +28,14 @@
             "thousandths",
         )?;
         let shards = within("home_shards", raw.home_shards, 1..=64, "shards")?;
-        let seeds = raw.seeds.iter().map(|seed| address("seeds", seed));
+        let seeds = raw.seeds.iter().map(|seed| parse_address("seeds", seed));
         Ok(Settings {
-            vm: name("vm", &raw.vm)?,
-            data_centre: name("data_centre", &raw.data_centre)?,
-            callers: address("callers", &raw.callers)?,
-            operators: address("operators", &raw.operators)?,
-            peers: address("peers", &raw.peers)?,
-            platform: address("platform", &raw.platform)?,
+            vm: parse_name("vm", &raw.vm)?,
+            data_centre: parse_name("data_centre", &raw.data_centre)?,
+            callers: parse_address("callers", &raw.callers)?,
+            operators: parse_address("operators", &raw.operators)?,
+            peers: parse_address("peers", &raw.peers)?,
+            platform: parse_address("platform", &raw.platform)?,
             seeds: seeds.collect::<Result<_, _>>()?,
             log: check_log(&raw.log)?,
             caller_options: caller_options(limits, times),
@@ -190,11 +190,11 @@
     Ok(Log { format, level })
 }
 
-fn name(field: &str, text: &str) -> Result<Name, Invalid> {
+fn parse_name(field: &str, text: &str) -> Result<Name, Invalid> {
     Name::try_from(text).map_err(|reason| invalid(field, format!("'{text}'"), reason))
 }
 
-fn address(field: &str, text: &str) -> Result<SocketAddr, Invalid> {
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr, Invalid> {
     text.parse()
         .map_err(|_| invalid(field, format!("'{text}'"), "an address as IP:port"))
 }
