--- a/crates/stackpier-coordination/src/accept.rs
+++ b/crates/stackpier-coordination/src/accept.rs
@@ -155,9 +155,7 @@
         let (revision, page) = match fetched {
             Fetched::Found(revision, Page::Intents(page)) => (revision, page),
             Fetched::Absent => (ABSENT, Shard::default()),
-            Fetched::Found(..) | Fetched::Failed => {
-                return self.fail("the store gave no answer");
-            }
+            Fetched::Found(..) | Fetched::Failed => return self.fail("the store gave no answer"),
         };
         match self.change.apply(&page) {
             Err(error) => Next::Answer(Err(error), None),
--- a/crates/stackpier-coordination/src/holder.rs
+++ b/crates/stackpier-coordination/src/holder.rs
@@ -71,9 +71,10 @@
         self.ledger.drop_old(oldest);
     }
 
-    /// refusal returns the answer that refuses a query, or `None` if this holder
-    /// may answer it: the query is for this boot and, if it names a version of the
-    /// map, that is the newest known one and assigns the key to this holder.
+    /// refusal returns the answer that refuses a grant or a seal, or `None` if this
+    /// holder may process it: the message is for this boot and, if it names a
+    /// version of the map, that is the newest known one and assigns the key to
+    /// this holder.
     fn refusal(&self, boot: Boot, version: Option<u64>, key: Key) -> Option<Held> {
         if boot != self.boot {
             return Some(Held::OtherBoot);
--- a/crates/stackpier-coordination/src/owner/calls.rs
+++ b/crates/stackpier-coordination/src/owner/calls.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// is_due reports whether a worker should be called now: after `sync_ms`, or after
-/// URGENT_GAP_MS if it has runs to start or stop.
+/// is_due reports whether a worker should be called now: after `sync_ms`, or
+/// after URGENT_GAP_MS if it has runs to start or stop.
 fn is_due(now: Millis, page: &Rack, worker: &Worker, contact: &Contact, sync_ms: u64) -> bool {
     if contact.calling {
         return false;
@@ -113,8 +113,8 @@
     })
 }
 
-/// build_probe returns a call that only requests the worker's reply and changes nothing on
-/// it: without the boot it renews no lease.
+/// build_probe returns a call that only requests the worker's reply. It changes
+/// nothing on the worker: without the boot it renews no lease.
 fn build_probe(call: &Call) -> Call {
     Call {
         boot: Boot::default(),
--- a/crates/stackpier-coordination/src/owner/read.rs
+++ b/crates/stackpier-coordination/src/owner/read.rs
@@ -27,7 +27,8 @@
 pub(super) type Snapshots = BTreeMap<u16, (Revision, homes::Shard)>;
 
 impl Owner {
-    /// receive_page processes the rack's page that was read.
+    /// receive_page replaces the page by the one that was read, unless the read
+    /// failed.
     pub(super) fn receive_page(
         &mut self,
         now: Millis,
--- a/crates/stackpier-coordination/src/placer/claim.rs
+++ b/crates/stackpier-coordination/src/placer/claim.rs
@@ -73,7 +73,7 @@
 }
 
 /// Offer is a candidate with the intents of this shard's tasks on it and the
-/// services_on that run on it.
+/// services that run on it.
 struct Offer {
     candidate: Candidate,
     names: Vec<Name>,
@@ -120,8 +120,8 @@
 /// Excess maps pairs to the slowdown that the batch job adds, in thousandths.
 type Excess = BTreeMap<Pair, u32>;
 
-/// combine_estimates combines the estimates of the owners of racks. Of two estimates of a
-/// pair the one with the smaller deviation is used.
+/// combine_estimates combines the estimates of the owners of racks. Of two
+/// estimates of a pair the one with the smaller deviation is used.
 fn combine_estimates(view: View<'_>) -> Excess {
     let mut best: BTreeMap<Pair, PairReport> = BTreeMap::new();
     for report in view.racks.values().flat_map(|report| &report.pairs) {
--- a/crates/stackpier-state/src/explain.rs
+++ b/crates/stackpier-state/src/explain.rs
@@ -104,8 +104,8 @@
     /// The owner sends no orders, because the store has not confirmed its
     /// ownership recently.
     Unconfirmed,
-    /// An earlier owner may have started the task on a worker that has not
-    /// answered this owner yet.
+    /// A predecessor may have started the task on a worker that has not answered
+    /// this owner yet.
     Predecessor,
     /// The configuration lacks the job's queue, which has this name.
     UnknownQueue(String),
--- a/crates/stackpierd/src/holders.rs
+++ b/crates/stackpierd/src/holders.rs
@@ -129,8 +129,9 @@
         }
     }
 
-    /// revise adopts the map that was read, acknowledges its newest version, and
-    /// writes the map if it changed.
+    /// revise adopts the map that was read, adds a version if `may_renew`, and
+    /// acknowledges the version that was the newest one. It writes the map if that
+    /// changed it.
     fn revise(&self, revision: Revision, map: Map, may_renew: bool) {
         let daemon = self.daemon;
         // From here on this daemon grants no key under an earlier version. So the
