--- a/crates/stackpier-coordination/src/owner/read.rs
+++ b/crates/stackpier-coordination/src/owner/read.rs
@@ -28,7 +28,7 @@
 
 impl Owner {
     /// receive_page replaces the page by the one that was read, unless the read
-    /// failed.
+    /// failed or the known page is newer.
     pub(super) fn receive_page(
         &mut self,
         now: Millis,
--- a/crates/stackpier-coordination/src/placer/claim.rs
+++ b/crates/stackpier-coordination/src/placer/claim.rs
@@ -80,8 +80,7 @@
     services: Vec<Name>,
 }
 
-/// list_offers returns an offer for each reported worker that is not leaving or
-/// gone.
+/// list_offers returns an offer for each reported worker that is listed as live.
 fn list_offers(view: View<'_>, next: &Shard) -> Vec<Offer> {
     let mut offers = Vec::new();
     for report in view.racks.values() {
