--- a/crates/stackpierd/src/routing.rs
+++ b/crates/stackpierd/src/routing.rs
@@ -45,8 +45,8 @@
 pub enum Acquired {
     /// A slot.
     Slot(Slot),
-    /// The wait would pass the deadline; the caller may try again after this time,
-    /// in milliseconds.
+    /// The queue is full, or the wait would be too long or pass the deadline. The
+    /// caller may try again after this time, in milliseconds.
     Shed(u64),
     /// The service has no upstream.
     NoUpstream,
