--- a/crates/stackpierd/src/holders.rs
+++ b/crates/stackpierd/src/holders.rs
@@ -61,6 +61,7 @@
 }
 
 impl<B: Backend> Maintainer<'_, B> {
+    /// run_round reads and updates the map if that is due, and drops old records.
     fn run_round(&mut self) {
         let now = clock::now();
         let daemon = self.daemon;
@@ -97,6 +98,8 @@
         earlier.clone().any(open)
     }
 
+    /// update reads the map and revises it. `may_renew` tells whether a version with
+    /// the live daemons may be added.
     fn update(&self, may_renew: bool) {
         match self
             .daemon
@@ -126,6 +129,9 @@
         }
     }
 
+    /// revise adopts the map that was read, adds a version if `may_renew`, and
+    /// acknowledges the version that was the newest one. It writes the map if that
+    /// changed it.
     fn revise(&self, revision: Revision, map: Map, may_renew: bool) {
         let daemon = self.daemon;
         // From here on this daemon grants no key under an earlier version. So the
