--- a/crates/stackpier-cell/src/cell.rs
+++ b/crates/stackpier-cell/src/cell.rs
@@ -58,21 +58,21 @@
     /// Steps of rounds that are not due yet.
     pub(crate) not_due: Vec<StepKey>,
     /// Whether a change may allow tasks to be placed.
-    pub(crate) place_wanted: bool,
+    pub(crate) placement_due: bool,
     /// The placement passes over steps with guaranteed tasks.
     pub(crate) guaranteed_pass: GuaranteedPass,
     /// The placement passes over steps with best-effort tasks.
     pub(crate) best_effort_pass: BestEffortPass,
     pub(crate) summary_logged_at: Millis,
     /// When all runs were last checked.
-    pub(crate) swept: Millis,
+    pub(crate) swept_at: Millis,
     pub(crate) model: Model,
     pub(crate) cycle: Cycle,
     /// When the learned model was last saved.
     pub(crate) model_saved_at: Millis,
     /// Operators' plans to take hosts down.
     pub(crate) maintenance: Vec<Rollout>,
-    /// The progress of these plans under an earlier owner.
+    /// The progress of these plans under a predecessor.
     pub(crate) inherited_maintenance: Vec<Record>,
     /// The earliest time at which this owner takes hosts down. After another owner it first
     /// waits, because two owners do not coordinate.
@@ -93,7 +93,7 @@
 
 impl Cell {
     /// new starts the ownership of a cell under `fence`, without jobs or workers. `predecessor`
-    /// tells whether an earlier owner may still act.
+    /// tells whether a predecessor may still act.
     pub fn new(options: Options, fence: u64, now: Now, predecessor: bool) -> Cell {
         let acting = if predecessor { options.authority_ms } else { 0 };
         let inherited_until = Cell::inherited_until(&options, now.mono, acting);
@@ -117,14 +117,14 @@
             guaranteed_queue: Vec::new(),
             best_effort_queue: Vec::new(),
             not_due: Vec::new(),
-            place_wanted: false,
+            placement_due: false,
             guaranteed_pass: GuaranteedPass::new(Budget::new(guaranteed_ratings, now.mono)),
             best_effort_pass: BestEffortPass::new(Budget::new(
                 options.ratings_per_ms - guaranteed_ratings,
                 now.mono,
             )),
             summary_logged_at: now.mono,
-            swept: now.mono,
+            swept_at: now.mono,
             model: Model::default(),
             cycle: Cycle::default(),
             model_saved_at: now.mono,
@@ -162,8 +162,8 @@
             Event::Paced {
                 run,
                 percent,
-                taken,
-            } => self.handle_pace_answer(run, percent, taken),
+                accepted,
+            } => self.handle_pace_answer(run, percent, accepted),
             Event::Renewed {
                 worker,
                 sent,
@@ -186,7 +186,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// state returns the state of a job that client accounts are shown, or `None` if the job is
+    /// state returns the state that client accounts are shown for a job, or `None` if the job is
     /// not known.
     pub fn state(&self, job: key::Job) -> Option<State> {
         let job = self.job(*self.job_keys.get(&job)?);
@@ -323,7 +323,7 @@
         for queue in queues {
             self.queues.insert(queue.name.clone(), queue);
         }
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 
     /// drop_run removes a run that has ended and frees its capacity.
@@ -335,7 +335,7 @@
         task.runs.retain(|other| *other != key);
         // A run that never started doesn't change when the task's last run ended.
         if run.confirmed.is_some() {
-            task.ended = Some(now);
+            task.last_ended_at = Some(now);
         }
         let step = self.step_mut(run.step);
         step.runs -= 1;
@@ -343,7 +343,7 @@
         if run.confirmed.is_some() {
             step.idle_since = now;
         }
-        self.place_wanted = true;
+        self.placement_due = true;
         if run.is_recorded() {
             self.mark_dirty(self.step_of(run.step).job);
         }
@@ -385,8 +385,8 @@
         self.check_workers();
         self.check_confirmed();
         let now = self.now.mono;
-        if now.since(self.swept) >= SWEEP_MS {
-            self.swept = now;
+        if now.since(self.swept_at) >= SWEEP_MS {
+            self.swept_at = now;
             self.check_suspects();
             self.check_runs();
             self.check_drains();
@@ -401,6 +401,6 @@
         }
         self.log_summary();
         let waits = self.queued().next().is_some();
-        self.place_wanted |= waits;
+        self.placement_due |= waits;
     }
 }
--- a/crates/stackpier-cell/src/dedicated.rs
+++ b/crates/stackpier-cell/src/dedicated.rs
@@ -21,15 +21,15 @@
     worker::{Presence, Worker},
 };
 
-/// MIN_WAIT_MS is how long a short task waits before it counts as one that does not fit: tasks
-/// that run for half a second free capacity all the time.
+/// MIN_WAIT_MS is how long a short task waits before it counts as one that does not fit. Many
+/// fit sooner, as tasks that run for half a second free capacity all the time.
 const MIN_WAIT_MS: u64 = 200;
 /// MAX_IDLE_MS is how long a worker stays dedicated while no short task runs on it.
 const MAX_IDLE_MS: u64 = 2_500;
 /// DEDICATED_WAIT_MS is how long a long-running task that fits nowhere else waits before it may
-/// start on a dedicated worker. Users count the task as lost from nine seconds after its last
-/// run, if there was enough free capacity meanwhile, even if it was scattered over workers and
-/// time.
+/// start on a dedicated worker. Client accounts count the task as lost from nine seconds after
+/// its last run, if there was enough free capacity meanwhile, even if it was scattered over
+/// workers and time.
 const DEDICATED_WAIT_MS: u64 = 7_000;
 /// DEDICATED_DIVISOR limits the dedicated workers of a service to one in this many.
 const DEDICATED_DIVISOR: usize = 4;
@@ -160,8 +160,9 @@
             && !matches!(self.rank_of(key), Rank::Expired(_))
     }
 
-    /// dedicate dedicates as many workers as a shortage asks for, within the limit. Workers on
-    /// which the least has to stay come first.
+    /// dedicate dedicates as many workers as a shortage asks for, within the limit. Those come
+    /// first on which the fewest processors are used by long-running tasks that can't be
+    /// preempted now.
     fn dedicate(&mut self, shortage: &Shortage) {
         let largest = self.largest_worker_milli().max(1);
         let wanted = shortage.milli_cores.div_ceil(largest) as usize;
--- a/crates/stackpier-cell/src/interference.rs
+++ b/crates/stackpier-cell/src/interference.rs
@@ -4,14 +4,15 @@
 //!
 //! A serving task's tail latency grows as its queue does: it is the unloaded tail divided by
 //! the share of the task's capacity that is free. So its *load*, the share in use, follows from
-//! its tail. Samples of user traffic show that the load is the task's *own load* plus, for each
-//! best-effort image on the worker, a coefficient times the processors that its tasks use. Each
-//! coefficient has a mean and a variance. A Kalman filter with independent terms corrects them
-//! with every sample.
+//! its tail. Samples of client traffic show that the load is the task's *own load* plus, for
+//! each best-effort image on the worker, a coefficient times the processors that its tasks use.
+//! Each coefficient has a mean and a variance. A Kalman filter with independent terms corrects
+//! them with every sample.
 
 use crate::{arena::ImageKey, interner::Interner};
 
-/// TARGET_FACTOR is the ratio of the target to the unloaded tail: six in the users' workloads.
+/// TARGET_FACTOR is the ratio of the target to the unloaded tail: six in the client accounts'
+/// workloads.
 const TARGET_FACTOR: f64 = 6.0;
 /// LOAD_AT_TARGET is the load at which the tail is at its target.
 pub const LOAD_AT_TARGET: f64 = 1.0 - 1.0 / TARGET_FACTOR;
@@ -45,7 +46,7 @@
 /// Options are the constants of the filter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// The initial coefficient of a pair, for one core. In samples of user traffic most pairs
+    /// The initial coefficient of a pair, for one core. In samples of client traffic most pairs
     /// have 0.002 to 0.01 and a few 0.03 to 0.09.
     pub pair: Estimate,
     /// The variance of one sample around the expected load. It is high because samples follow
@@ -140,10 +141,10 @@
         serving: ImageKey,
         load: f64,
         own_load: Estimate,
-        beside: &[Pressure],
+        pressures: &[Pressure],
     ) {
-        let beside = sum_by_image(beside);
-        let added = self.added_load(serving, &beside);
+        let pressures = sum_by_image(pressures);
+        let added = self.added_load(serving, &pressures);
         let residual = load - own_load.mean - added.mean;
         if load >= SATURATED_LOAD && residual <= 0.0 {
             // The actual load may be higher, so the sample does not show that the pressures add
@@ -151,7 +152,7 @@
             return;
         }
         let total = self.options.noise + own_load.variance + added.variance;
-        for pressure in &beside {
+        for pressure in &pressures {
             let old = self.pair(serving, pressure.image);
             let gain = old.variance * pressure.cores / total;
             // Negative means are kept: cut off at zero, the errors of the many pairs without an
--- a/crates/stackpier-cell/src/job.rs
+++ b/crates/stackpier-cell/src/job.rs
@@ -31,7 +31,7 @@
     pub tasks: u32,
     /// Tasks that are not done.
     pub left: u32,
-    /// Whether an earlier owner may have started its tasks.
+    /// Whether a predecessor may have started its tasks.
     pub inherited: bool,
     /// When it should be done, by the owner's monotonic clock.
     pub objective: Millis,
@@ -50,13 +50,13 @@
 impl Job {
     /// visible_state returns the state that client accounts are shown. A final state must never
     /// change again, but a successor that does not find it in the store starts the job's tasks
-    /// again. This happened 4 s after clients had seen the final state, when the owner lost the
-    /// store and was killed while workers crashed. So a final state is shown only once it is
-    /// saved.
+    /// again. This happened 4 s after client accounts had seen the final state, when the owner
+    /// lost the store and was killed while workers crashed. So a final state is shown only once it
+    /// is saved.
     ///
-    /// This delays the answer by one save (calculated: about 25 ms, for half of the pause
-    /// between saves and a call to the store) and costs 0.01 of the goodput of short jobs in
-    /// simulation. A cancellation needs no wait: the store has it before the owner knows of it.
+    /// This delays the answer by one save (about 25 ms: half of the pause between saves and a call
+    /// to the store) and costs 0.01 of the goodput of short jobs in simulation. A cancellation
+    /// needs no wait: the store has it before the owner knows of it.
     pub(crate) fn visible_state(&self) -> State {
         let backed = self.stored == self.state || self.state == State::Cancelled;
         if self.state.is_final() && !backed {
@@ -86,7 +86,7 @@
     /// Since when none of its tasks has run, or when it became ready.
     pub idle_since: Millis,
     /// When it became ready.
-    pub released: Millis,
+    pub ready_since: Millis,
     /// How many workers it has reserved.
     pub reservations: u32,
     /// Whether the step is in a placement queue.
@@ -122,15 +122,15 @@
     pub checkpoint: Option<String>,
     /// The evidence that it causes workers to crash.
     pub suspect: Option<Box<Suspect>>,
-    /// Whether a run of it was presumed to have ended with a silent worker's lease. A later
-    /// owner may then learn from that worker that the task is done.
+    /// Whether a run of it was presumed to have ended with a silent worker's lease. A successor
+    /// may then learn from that worker that the task is done.
     pub presumed_ended: bool,
     /// The workers on which it failed last, so that the next run goes elsewhere.
     pub failed_on: Vec<WorkerKey>,
     /// The earliest next start.
     pub not_before: Millis,
     /// When its last run ended.
-    pub ended: Option<Millis>,
+    pub last_ended_at: Option<Millis>,
     /// Whether it is in its step's list of ready tasks.
     pub ready: bool,
 }
--- a/crates/stackpier-cell/src/maintenance/rollout.rs
+++ b/crates/stackpier-cell/src/maintenance/rollout.rs
@@ -10,13 +10,14 @@
 /// HOST_CYCLE_MS is the time from the first stop on a host until its new worker
 /// works: one to two seconds to empty it, two down, and the start.
 const HOST_CYCLE_MS: u64 = 4_000;
-/// LEAD_MS is how long before a host can be ordered down emptying it begins, as that
-/// takes about a second. A host is down for two seconds, so emptying the next one
-/// begins this long after it went down.
+/// LEAD_MS is about how long it takes to empty a host. Emptying begins this long
+/// before the host may be ordered down. As a host is down for two seconds, emptying
+/// the next one begins this long after it went down: that one is then empty when
+/// the first returns.
 pub(super) const LEAD_MS: u64 = 1_000;
-/// HEADROOM is the factor by which more hosts are out of service at once than the
+/// SURPLUS_FACTOR is the factor by which more hosts are out of service at once than the
 /// time left requires, as some wait for others.
-const HEADROOM: f64 = 1.3;
+const SURPLUS_FACTOR: f64 = 1.3;
 
 /// HostKey identifies a host of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +48,7 @@
     },
     /// It has been down and has returned, or did not return in time.
     Done,
-    /// It is not known, or has had no worker for long.
+    /// It is not known, or has had no worker for a long time.
     Gone,
 }
 
@@ -119,7 +120,7 @@
         }
     }
 
-    /// resume applies the progress that earlier owners recorded.
+    /// resume applies the progress that predecessors recorded.
     pub(super) fn resume(&mut self, record: &Record) {
         self.completed = record.completed;
         let was_down = |host: &&mut Host| record.down.contains(&host.name);
@@ -158,7 +159,7 @@
         let open = self.hosts.iter().filter(open).count();
         let left_ms = self.due.since(now).max(1);
         let cycles = (left_ms as f64 / HOST_CYCLE_MS as f64).floor().max(1.0);
-        let wanted = (open as f64 * HEADROOM / cycles).ceil() as usize;
+        let wanted = (open as f64 * SURPLUS_FACTOR / cycles).ceil() as usize;
         wanted.min(self.plan.max_down as usize)
     }
 
--- a/crates/stackpier-cell/src/options.rs
+++ b/crates/stackpier-cell/src/options.rs
@@ -35,7 +35,7 @@
     pub stop_retry_ms: u64,
     /// The longest time a worker takes to stop a run.
     pub stop_ms: u64,
-    /// The least time between two saves, so that ends are saved together.
+    /// The shortest time between two saves, so that ends are saved together.
     pub save_gap_ms: u64,
     /// The pause before a failed save is tried again.
     pub save_retry_ms: u64,
@@ -50,21 +50,21 @@
     pub stale_entry_ms: u64,
     /// How much earlier than its due time a round may start.
     pub early_ms: u64,
-    /// Share of its reservation that a serving task is assumed to use, in
+    /// Share of the processors it asked for that a serving task is assumed to use, in
     /// thousandths.
     pub serving_usage_milli: u32,
     /// The highest expected rise in the number of serving tasks over target
     /// that the start of a best-effort task may cause.
     pub max_harm: f64,
     /// The same for a task whose job has a slack of more than half of its longest
-    /// remaining chain of work: it can wait for a better worker at no cost. It also
-    /// applies to jobs that miss their deadline.
+    /// remaining chain of work: it can wait for a better worker at no cost. The limit
+    /// also applies to jobs that miss their deadline.
     pub max_harm_with_slack: f64,
     /// How much run time of a best-effort task without checkpoints may be lost by
     /// moving it.
     pub max_move_loss_ms: u64,
-    /// How long after a take-over no host is ordered down, so that the orders of
-    /// two owners for one host never alternate.
+    /// How long after a takeover no host is ordered down, so that the orders of two
+    /// owners for one host never alternate.
     pub take_down_gap_ms: u64,
     /// A run without progress for this long is moved; a tenth of the task's estimate
     /// is added.
--- a/crates/stackpier-cell/src/pace.rs
+++ b/crates/stackpier-cell/src/pace.rs
@@ -27,8 +27,8 @@
 /// takes a call to the worker.
 const MIN_RAISE: u8 = 30;
 /// MAX_OVER_TARGET_MS is how long a serving task may be over its target before all best-effort
-/// tasks on its worker are paused or moved. Users count harm from four seconds; the order, its
-/// effect and the report that shows it take about one.
+/// tasks on its worker are paused or moved. Client accounts count harm from four seconds; the
+/// order, its effect and the report that shows it take about one.
 const MAX_OVER_TARGET_MS: u64 = 2_400;
 /// MOVE_CONTRIBUTION is the load that a best-effort task must add to a serving task over its
 /// target to be moved instead of paused.
@@ -210,8 +210,8 @@
         self.effects.push(Effect::Pace(Pace { order, percent }));
     }
 
-    /// mark_pace_unconfirmed has the assumed pace of a run ordered again with the next report,
-    /// as the predecessor may have paused it.
+    /// mark_pace_unconfirmed marks the assumed pace of a run as unconfirmed, so that it is
+    /// ordered with the next report: the predecessor may have paused the run.
     pub(crate) fn mark_pace_unconfirmed(&mut self, key: RunKey) {
         let now = self.now.mono;
         if let Some(run) = self.runs.get_mut(key) {
@@ -265,7 +265,7 @@
         u64::from(spec.estimate_ms) * u64::from(run.percent) / 100
     }
 
-    /// move_slowed moves the tasks whose pace has been low for long.
+    /// move_slowed moves the tasks whose pace has been low for a long time.
     fn move_slowed(&mut self, worker: WorkerKey) {
         if !self.is_enabled(Mechanism::Moves) {
             return;
--- a/crates/stackpier-cell/src/place.rs
+++ b/crates/stackpier-cell/src/place.rs
@@ -33,11 +33,11 @@
 /// BEST_EFFORT_GAP_MS is the shortest time between the starts of two passes over best-effort
 /// tasks.
 const BEST_EFFORT_GAP_MS: u64 = 40;
-/// MAX_TRIED is how many kinds of best-effort tasks may find no worker before a pass ends. The
+/// MAX_REJECTED is how many kinds of best-effort tasks may find no worker before a pass ends. The
 /// next pass continues with the kinds after them.
-const MAX_TRIED: usize = 40;
+const MAX_REJECTED: usize = 40;
 /// LONG_RUNNING_FIRST_MS is how long a long-running task waits before it goes ahead of all
-/// others of its priority: users count it as lost from six seconds after its last run.
+/// others of its priority: client accounts count it as lost from six seconds after its last run.
 const LONG_RUNNING_FIRST_MS: u64 = 3_000;
 /// TRUST_MS is how long a task that may fail only once more waits for a worker with a recent
 /// success, before it goes to one without recent faults. After twice this time it goes to any
@@ -87,8 +87,8 @@
         if !self.has_authority() {
             return;
         }
-        let wanted = std::mem::take(&mut self.place_wanted);
-        if wanted {
+        let is_due = std::mem::take(&mut self.placement_due);
+        if is_due {
             self.guaranteed_pass.due = true;
             self.best_effort_pass.due = true;
         }
@@ -99,7 +99,7 @@
         }
         self.place_guaranteed();
         self.place_best_effort();
-        if wanted {
+        if is_due {
             self.poll_for_suspects();
         }
     }
@@ -182,8 +182,8 @@
         }
     }
 
-    /// has_nothing_to_place reports whether a step has nothing to place: its job may have ended
-    /// since the pass began.
+    /// has_nothing_to_place reports whether a step has no ready tasks, or its job has ended,
+    /// which may be since the pass began.
     fn has_nothing_to_place(&self, step: StepKey) -> bool {
         let entry = self.step_of(step);
         entry.ready.is_empty() || self.job(entry.job).state.is_final()
@@ -258,8 +258,8 @@
     }
 
     /// pick_worker returns the best worker for a task of a step. Tasks that never failed and are
-    /// not suspected of crashes are interchangeable and take the best of `candidates`, the
-    /// workers rated once for the step. For any other task the workers are rated anew.
+    /// not suspected of crashing workers are interchangeable and take the best of `candidates`,
+    /// the workers rated once for the step. For any other task the workers are rated again.
     fn pick_worker(
         &self,
         task: TaskKey,
@@ -287,8 +287,8 @@
         None
     }
 
-    /// find_worker returns the best worker for one task. A task that is suspected of crashes
-    /// goes only to a worker that has just answered.
+    /// find_worker returns the best worker for one task. A task that is suspected of crashing
+    /// workers goes only to a worker that has just answered.
     pub(crate) fn find_worker(&self, task: TaskKey, demand: &Demand) -> Option<WorkerKey> {
         let mut candidates = self.candidates_for(task, demand);
         if self.task(task).suspect.is_some() {
@@ -299,7 +299,7 @@
     }
 
     /// find_worker_unverified returns the best worker for one task, even if the task is
-    /// suspected of crashes and the worker has not just answered.
+    /// suspected of crashing workers and the worker has not just answered.
     pub(crate) fn find_worker_unverified(
         &self,
         task: TaskKey,
--- a/crates/stackpier-cell/src/place/pass.rs
+++ b/crates/stackpier-cell/src/place/pass.rs
@@ -7,7 +7,7 @@
 use crate::{
     Cell,
     arena::{StepKey, WorkerKey},
-    place::{Budget, Demand, MAX_TRIED, Outcome},
+    place::{Budget, Demand, MAX_REJECTED, Outcome},
 };
 
 /// STALE_MS is the maximum age of a pass that waits for answers to starts. Then a new pass
@@ -48,8 +48,8 @@
         demand.priority >= self.priority && !(demand.long_running && older)
     }
 
-    /// covers reports whether tasks find no free capacity either: they require at least as
-    /// much, may use no other workers, and are kept out by the same reservations.
+    /// covers reports whether the tasks of a demand find no free capacity either: they require
+    /// at least as much, may use no other workers, and are kept out by the same reservations.
     fn covers(&self, demand: &Demand, has_reservations: bool) -> bool {
         self.service == demand.service
             && self.size.fits(&demand.size)
@@ -101,7 +101,7 @@
     pub began: Millis,
     /// Whether the pass waits for answers to starts.
     awaits_answers: bool,
-    /// Workers whose predictions are still to be renewed.
+    /// Workers whose predictions are still to be refreshed.
     workers: Vec<WorkerKey>,
     /// Steps still to be tried, the next one last.
     steps: Vec<StepKey>,
@@ -134,7 +134,8 @@
         }
     }
 
-    /// rules_out reports whether no worker has free capacity for tasks, as far as the pass knows.
+    /// rules_out reports whether no worker has free capacity for the tasks of a demand, as far as
+    /// the pass knows.
     fn rules_out(&self, demand: &Demand) -> bool {
         let headroom = self
             .headroom
@@ -180,7 +181,7 @@
 
     /// has_reached_limit reports whether as many kinds as a pass may try have found no worker.
     fn has_reached_limit(&self) -> bool {
-        self.rejected.len() - self.carried_over >= MAX_TRIED
+        self.rejected.len() - self.carried_over >= MAX_REJECTED
     }
 
     /// reset_rejected prepares the rejected demands for a new pass. Those of the previous pass
@@ -322,7 +323,7 @@
         self.best_effort_pass.awaits_answers |= self.flow.is_full();
         while !self.best_effort_pass.budget.is_spent() && !self.flow.is_full() {
             if let Some(worker) = self.best_effort_pass.workers.pop() {
-                self.renew_predictions(worker);
+                self.refresh_predictions(worker);
             } else if let Some(step) = self.best_effort_pass.steps.pop() {
                 self.try_best_effort(step);
             } else if !self.best_effort_pass.starving_listed {
@@ -338,7 +339,7 @@
         self.best_effort_pass.awaits_answers |= self.flow.is_full();
     }
 
-    fn renew_predictions(&mut self, key: WorkerKey) {
+    fn refresh_predictions(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         if worker.long_running_milli > 0 || !worker.predictions.is_empty() {
             self.update_predictions(key);
@@ -356,7 +357,7 @@
                 .best_effort_pass
                 .rejected
                 .iter()
-                .any(|earlier| demand.requires_at_least(earlier))
+                .any(|earlier| demand.is_ruled_out_by(earlier))
             && self.place_step(&demand) == Outcome::NoWorker
             && demand.needs_only_capacity()
         {
--- a/crates/stackpier-cell/src/restart.rs
+++ b/crates/stackpier-cell/src/restart.rs
@@ -47,8 +47,9 @@
 
 impl Cell {
     /// match_incarnation reports whether a report, requested at `sent`, is of the known
-    /// incarnation. A report of another incarnation only begins that one. Its contents are not
-    /// applied, because the request relied on the state of the earlier incarnation.
+    /// incarnation. A report of another incarnation only makes that one the current one. Its
+    /// contents are not applied, because the request relied on the state of the earlier
+    /// incarnation.
     pub(crate) fn match_incarnation(
         &mut self,
         key: WorkerKey,
@@ -114,7 +115,7 @@
         self.worker_keys.get(&self.worker(key).info.id) == Some(&key)
     }
 
-    /// begin_incarnation replaces an incarnation whose address now answers for another one.
+    /// begin_incarnation replaces an incarnation by another one that now answers at its address.
     fn begin_incarnation(&mut self, key: WorkerKey, started_at: Option<Unix>, clock_ms: u64) {
         self.log_misdirected_ack(key);
         let worker = self.worker_mut(key);
@@ -136,8 +137,8 @@
         worker.deadline_ms = clock_ms + max_lease_ms;
     }
 
-    /// log_misdirected_ack logs that a new incarnation was told to forget ends of the earlier one:
-    /// it may have forgotten some of its own.
+    /// log_misdirected_ack logs that a new incarnation was sent an acknowledgement of ends of the
+    /// earlier one: it may have forgotten some of its own.
     fn log_misdirected_ack(&mut self, key: WorkerKey) {
         let worker = self.worker(key);
         if worker.acking > 0 {
@@ -179,7 +180,7 @@
     /// move_unreported_runs moves runs that no report of the earlier incarnation has shown to the
     /// new one, which is then checked for them. Orders name a worker only by its id, so a start
     /// meant for the earlier incarnation may have reached the new one. If it has not, the earlier
-    /// incarnation may have reported the end of the run to a later owner.
+    /// incarnation may have reported the end of the run to a successor.
     fn move_unreported_runs(&mut self, earlier: WorkerKey, later: WorkerKey) {
         for key in self.worker(earlier).runs.clone() {
             if self.is_sent(key) && !self.is_reported(key) {
@@ -200,7 +201,7 @@
         };
         self.workers[run.worker.0 as usize].remove(key, run);
         run.worker = to;
-        run.stop_accepted = None;
+        run.stop_accepted_at = None;
         if run.phase == Phase::Running {
             run.phase = Phase::Unsure(now);
         }
--- a/crates/stackpier-cell/src/run.rs
+++ b/crates/stackpier-cell/src/run.rs
@@ -72,11 +72,11 @@
     /// The number of the save that must be done before the start is sent.
     pub(crate) after_save: Option<u64>,
     /// When the worker accepted the order to stop it.
-    pub(crate) stop_accepted: Option<Millis>,
+    pub(crate) stop_accepted_at: Option<Millis>,
     /// Whether an order to stop it is in flight.
     pub(crate) stop_sent: bool,
     /// When the order to stop may be sent again.
-    pub(crate) stop_after: Millis,
+    pub(crate) stop_retry_at: Millis,
     /// The checkpoint that it had saved by the last report.
     pub(crate) saved: String,
     pub(crate) percent: u8,
@@ -87,7 +87,7 @@
     /// The load of a serving task, from its last reported tail latency.
     pub(crate) load: Option<f64>,
     /// Since when its tail latency has been reported.
-    pub(crate) measured: Option<Millis>,
+    pub(crate) measured_since: Option<Millis>,
     /// The smoothed excess of its load over the prediction.
     pub(crate) deviation: f64,
     /// Since when the tail latency has been over its target.
@@ -97,7 +97,7 @@
     pub(crate) recovered_since: Option<Millis>,
     /// The pace that it was set to, from 0 to 100.
     pub(crate) pace: u8,
-    /// Whether an earlier owner may have set another pace.
+    /// Whether a predecessor may have set another pace.
     pub(crate) pace_unknown: bool,
     /// Whether the worker may have missed the last order for its pace.
     pub(crate) pace_unconfirmed: bool,
@@ -112,14 +112,14 @@
     pub(crate) fn record_tail(&mut self, now: Millis, tail_ms: Option<u32>, target_ms: u32) {
         let Some(tail_ms) = tail_ms.filter(|tail_ms| *tail_ms > 0) else {
             self.load = None;
-            self.measured = None;
+            self.measured_since = None;
             self.over_since = None;
             self.recovered_since = None;
             return;
         };
         let load = interference::load(tail_ms, target_ms);
         self.load = Some(load);
-        self.measured.get_or_insert(now);
+        self.measured_since.get_or_insert(now);
         if load >= RECOVERED_LOAD {
             self.recovered_since = None;
         } else if now.since(*self.recovered_since.get_or_insert(now)) >= RECOVERED_MS {
@@ -132,8 +132,9 @@
 
     /// settled_load returns the load of a serving task that has been measured for long enough.
     pub(crate) fn settled_load(&self, now: Millis) -> Option<f64> {
-        let measured = self.measured?;
-        self.load.filter(|_| now.since(measured) >= WARM_UP_MS)
+        let measured_since = self.measured_since?;
+        self.load
+            .filter(|_| now.since(measured_since) >= WARM_UP_MS)
     }
 
     /// is_settled reports whether the measurements in a report reflect the run's present pace.
@@ -145,8 +146,8 @@
     /// run's pace allows.
     pub(crate) fn exceeds_pace(&self, now: Millis) -> bool {
         let allowed = u32::from((self.pace + PACE_MARGIN_PERCENT).min(100));
-        let most_milli = u64::from(self.size.milli_cores) * u64::from(allowed) / 100;
-        let over = |used_milli: u32| u64::from(used_milli) > most_milli;
+        let max_milli = u64::from(self.size.milli_cores) * u64::from(allowed) / 100;
+        let over = |used_milli: u32| u64::from(used_milli) > max_milli;
         self.pace < 100 && self.is_settled(now) && self.used_milli.is_some_and(over)
     }
 
@@ -173,12 +174,13 @@
         size
     }
 
-    /// full_cores returns the processors it asked for.
+    /// full_cores returns the processors that the run asked for.
     pub(crate) fn full_cores(&self) -> f64 {
         cores(self.size.milli_cores)
     }
 
-    /// cores returns the processors it is assumed to use, at its pace.
+    /// cores returns the processors that the run is assumed to use: its share by its pace, but no
+    /// more than was last measured.
     pub(crate) fn cores(&self, now: Millis) -> f64 {
         let declared = self.full_cores() * f64::from(self.pace) / 100.0;
         match self.used_milli {
--- a/crates/stackpier-cell/src/silence.rs
+++ b/crates/stackpier-cell/src/silence.rs
@@ -2,8 +2,8 @@
 //! When the runs of a silent worker count as ended.
 //!
 //! They do once the lease of the worker has expired and a final renewal, sent shortly before that,
-//! got no answer. Without the final renewal, an earlier one might just have been lost while the
-//! worker stayed reachable: it may list tasks as done that would then be started again elsewhere.
+//! got no answer. Without the final renewal, one lost call would make a worker seem silent that
+//! is reachable, and tasks that it lists as done would be started again elsewhere.
 
 use stackpier_core::Millis;
 
@@ -37,8 +37,8 @@
         over && worker.final_renewal.is_some_and(unanswered)
     }
 
-    /// may_report_inherited reports whether a silent worker may still report runs or ends of an
-    /// earlier owner.
+    /// may_report_inherited reports whether a silent worker may still report runs or ends of a
+    /// predecessor.
     pub(crate) fn may_report_inherited(&self, worker: &Worker) -> bool {
         let uncontacted = worker.presence == Presence::New && worker.is_inherited();
         uncontacted && worker.silent_since.is_some() && !self.may_presume_ended(worker)
--- a/crates/stackpier-cell/src/unanswered.rs
+++ b/crates/stackpier-cell/src/unanswered.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //! Starts that got no answer and may still be carried out seconds later.
 //!
-//! The worker is told to stop such a run and refuses it from then on. An incarnation that begins
+//! The worker is ordered to stop such a run and refuses it from then on. An incarnation that begins
 //! after that does not know about the stop and would accept the start, because orders name a worker
 //! only by its id.
 
@@ -12,8 +12,8 @@
     arena::{RunKey, WorkerKey},
 };
 
-/// MAX_LATE_MS is how long after it was given up a start may still be carried out. Workers do so up
-/// to twelve seconds late.
+/// MAX_LATE_MS is how long a start may still be carried out after the owner stopped waiting for its
+/// answer. Workers do so up to twelve seconds late.
 const MAX_LATE_MS: u64 = 15_000;
 
 /// Unanswered is a start that got no answer.
--- a/crates/stackpier-cell/tests/faults.rs
+++ b/crates/stackpier-cell/tests/faults.rs
@@ -266,7 +266,7 @@
     let effects = later.cell.step(now, Event::Listed(info(0)));
     for effect in effects {
         if let Effect::Renew(renewal) = effect {
-            owner.workers[0].hold(owner.now_ms, &renewal);
+            owner.workers[0].renew(owner.now_ms, &renewal);
         }
     }
     owner.submit(1, spec(vec![step(1)]));
@@ -313,14 +313,14 @@
     assert_eq!(
         later.places(1, 0).len(),
         1,
-        "every lease of the earlier owner is over"
+        "every lease of the predecessor is over"
     );
 }
 
 #[test]
 fn a_worker_that_fails_everything_gets_few_starts() {
     let mut owner = Owner::new(4);
-    owner.workers[0].grey = true;
+    owner.workers[0].fails_all = true;
     let failing = Behaviour::default();
     owner.behaviours.clear();
     assert_eq!(failing.work_ms, 0);
@@ -410,7 +410,7 @@
 }
 
 /// Guards against owners that wait for workers which are gone. Found in scenario trouble-2: workers
-/// that had left stayed in the roster, and each later owner waited until their leases expired.
+/// that had left stayed in the roster, and each successor waited until their leases expired.
 #[test]
 fn a_worker_that_left_is_not_waited_for_by_a_later_owner() {
     let mut owner = Owner::new(2);
@@ -423,7 +423,7 @@
     assert_eq!(ids, ["w0"]);
 }
 
-/// A step that only waits after a failure does not show that similar steps do not fit.
+/// That a step waits after a failed run does not show that no worker fits similar steps.
 #[test]
 fn a_best_effort_task_that_waits_does_not_block_others_of_its_image() {
     let mut owner = Owner::new(2);
--- a/crates/stackpier-cell/tests/listing.rs
+++ b/crates/stackpier-cell/tests/listing.rs
@@ -14,9 +14,10 @@
 //! promises rising numbers, but no order of the list.
 //!
 //! In a simulation with workers that list the newest end first, or in a random order, as many
-//! tasks start again as in the deployments, and most second runs end as done. With ends that show
-//! late, or lists that are cut, second runs are stopped. `platform/tests/listing.rs` tests the same
-//! with real daemons. It is not proved that the workers of the deployments listed ends in this way.
+//! tasks start again as in the deployments, and most second runs end as done. With ends that are
+//! listed late, or truncated lists, second runs are stopped. `platform/tests/listing.rs` tests the
+//! same with real daemons. It is not proved that the workers of the deployments listed ends in this
+//! way.
 
 mod common;
 
@@ -33,7 +34,7 @@
 
 /// TASKS is how many tasks run on one worker and end at the same time.
 const TASKS: u32 = 6;
-/// WORK_MS is more than twice as long as they run.
+/// WORK_MS is more than twice as long as these tasks run.
 const WORK_MS: u64 = 4_000;
 
 /// run_tasks runs tasks that end together on a worker that lists ends in the given way. It
@@ -57,8 +58,8 @@
     let orders = [
         Order::Numbered,
         Order::NewestFirst,
-        Order::Drawn(1),
-        Order::Drawn(2),
+        Order::Shuffled(1),
+        Order::Shuffled(2),
     ];
     let results = orders.map(|order| run_tasks(Listing::in_order(order)));
     assert_eq!(results, orders.map(|_| completed_once()));
@@ -75,7 +76,7 @@
 #[test]
 fn ends_beyond_a_list_that_is_cut_are_waited_for() {
     let mut owner = Owner::new(1);
-    owner.workers[0].listing = Listing::cut(2);
+    owner.workers[0].listing = Listing::limited_to(2);
     owner.submit(1, spec(vec![step(TASKS)]));
     owner.advance(500);
     owner.store = false;
@@ -107,16 +108,16 @@
     second
 }
 
-/// A later owner has contacted a worker once it has received all of its ends: a list that is cut
-/// has only the first ends, which tell nothing about the other tasks.
+/// A successor has contacted a worker once it has received all of its ends: a list that is cut has
+/// only the first ends, which tell nothing about the other tasks.
 #[test]
 fn a_successor_waits_for_the_ends_beyond_a_list_that_is_cut() {
-    let successor = run_successor(Listing::cut(2));
+    let successor = run_successor(Listing::limited_to(2));
     assert_eq!(successor.starts.len(), 0);
     assert_eq!(successor.state(1), Some(State::Completed));
 }
 
-/// A later owner also waits for the next report, which may list ends that the first one lacks.
+/// A successor also waits for the next report, which may list ends that the first one lacks.
 #[test]
 fn a_successor_waits_for_ends_that_show_one_report_late() {
     let successor = run_successor(Listing::late());
@@ -235,8 +236,8 @@
     }
 }
 
-/// A later owner has not contacted a worker while ends with lower numbers than the listed ones may
-/// be missing.
+/// A successor has not contacted a worker while ends with lower numbers than the listed ones may be
+/// missing.
 #[test]
 fn a_successor_waits_for_ends_below_those_that_are_listed() {
     let mut owner = Owner::with(1, 2, true);
@@ -253,7 +254,7 @@
     assert_eq!(owner.cell.running(), 0);
 }
 
-/// An earlier owner may have acknowledged the ends below those that are listed.
+/// A predecessor may have acknowledged the ends below those that are listed.
 #[test]
 fn ends_that_no_report_lists_delay_the_others_by_one_report() {
     let (mut owner, worker) = owner_of_worker();
@@ -263,7 +264,7 @@
 }
 
 /// A worker may be lost while the owner still waits for ends below those that it listed. All listed
-/// ends are saved, so a later owner need not wait for the worker.
+/// ends are saved, so a successor need not wait for the worker.
 #[test]
 fn a_worker_that_is_lost_with_a_gap_in_its_ends_is_given_up() {
     let (mut owner, worker) = owner_of_worker();
--- a/crates/stackpier-cell/tests/restarts.rs
+++ b/crates/stackpier-cell/tests/restarts.rs
@@ -30,9 +30,9 @@
 const LATER: u64 = 2;
 /// WIDTH is how many tasks a step has: all of them fit on one worker.
 const WIDTH: u32 = 8;
-/// CLOCK_MS is the clock of a later incarnation at its start.
+/// CLOCK_MS is what the clock of a later incarnation shows at its start.
 const CLOCK_MS: u64 = 20;
-/// HEARTBEAT_MS is the time until its entry is listed.
+/// HEARTBEAT_MS is the time from that start until the incarnation's entry is listed.
 const HEARTBEAT_MS: u64 = 1_500;
 /// IDLE_MS is longer than the time between two polls of an idle worker.
 const IDLE_MS: u64 = 5_100;
@@ -289,7 +289,7 @@
         owner.advance(1);
     }
     let saved = owner.saved(LATER).expect("what counts against it is saved");
-    let counted = saved.suspects[0].lives.len();
+    let counted = saved.suspects[0].incarnations.len();
     let mut successor = Owner::with(4, 2, true);
     successor.submit_to(LATER, QUEUE, spec(vec![step(1)]), 1, Some(saved));
     for place in 0..4 {
@@ -329,8 +329,8 @@
     assert!(last[0].completed, "{last:?}");
 }
 
-/// A later owner may have reached the earlier incarnation and acknowledged the end of its run.
-/// That the later incarnation does not show the run does not rule this out.
+/// A successor may have reached the earlier incarnation and acknowledged the end of its run. That
+/// the later incarnation does not show the run does not rule this out.
 #[test]
 fn without_the_store_a_start_that_the_earlier_incarnation_may_have_accepted_is_not_repeated() {
     let mut owner = owner(2);
@@ -357,7 +357,7 @@
     queue.advised = true;
     owner.feed(Event::Queues(vec![queue]));
     owner.submit_to(LATER, "advised", spec(vec![step(1)]), 1, None);
-    assert_eq!(owner.asked, [1]);
+    assert_eq!(owner.advice_sizes, [1]);
     // The answer comes after 5 ms.
     restart(&mut owner, 0, 1);
     list(&mut owner, 0, 1);
--- a/crates/stackpier-cell/tests/rotation.rs
+++ b/crates/stackpier-cell/tests/rotation.rs
@@ -43,7 +43,7 @@
     };
     let behaviour = Behaviour {
         size,
-        lasts: true,
+        long_running: true,
         ..Behaviour::default()
     };
     owner.behaviours.insert((job, 0), behaviour);
@@ -90,7 +90,8 @@
     assert_eq!(owner.places(SECOND, 0).len(), starts);
 }
 
-/// With one worker too few, each of the five tasks is stopped at times, and none for long.
+/// With one worker too few, each of the five tasks is stopped at times, and none for a long
+/// time.
 #[rstest]
 fn no_task_is_stopped_for_long_while_time_slices_rotate() {
     let mut owner = start_full_cell(Some(1), None);
--- a/crates/stackpier-cell/tests/starvation.rs
+++ b/crates/stackpier-cell/tests/starvation.rs
@@ -6,9 +6,9 @@
 //! best-effort step waiting though most capacity was free: the expected number of serving tasks
 //! that go over their targets grows with a task's width, and every worker had serving tasks. As
 //! the step never ran, the model never learnt that its effect is smaller than expected. So the
-//! limits are relaxed for a step that has had nothing running for long. In logs they were the
-//! only obstacles, for up to 24 seconds; that they caused the endless wait, too, is inferred. In
-//! these tests one of the three alone keeps a task waiting.
+//! limits are relaxed for a step that has had nothing running for a long time. In logs they were
+//! the only obstacles, for up to 24 seconds; that they caused the endless wait, too, is
+//! inferred. In these tests one of the three alone keeps a task waiting.
 
 mod common;
 
@@ -53,7 +53,7 @@
 fn submit_serving_job(owner: &mut Owner, step: Step, tail_ms: u32) {
     let behaviour = Behaviour {
         size: step.size,
-        lasts: true,
+        long_running: true,
         tail_ms: Some(tail_ms),
         ..Behaviour::default()
     };
@@ -257,7 +257,11 @@
     );
     owner.advance(5_000);
     let why = owner.cell.explain(key::Job(BEST_EFFORT));
-    assert!(has_started(&owner), "asked {:?}; {why:?}", owner.asked);
+    assert!(
+        has_started(&owner),
+        "asked {:?}; {why:?}",
+        owner.advice_sizes
+    );
 }
 
 /// A start that the worker refuses does not reset the time for which the step has waited.
@@ -305,8 +309,8 @@
             milli_cores: 0,
             ..long_running_best_effort.size
         },
-        fills_milli: 2_000,
-        lasts: true,
+        best_effort_milli: 2_000,
+        long_running: true,
         ..Behaviour::default()
     };
     owner.behaviours.insert((BEST_EFFORT, 0), behaviour);
@@ -316,7 +320,8 @@
     assert_eq!(owner.places(BEST_EFFORT, 0).len(), 2, "{why:?}");
 }
 
-/// Running tasks count with the use that reports show, not with their requests.
+/// A service counts as free by the use that reports show, not by the requests of its running
+/// tasks.
 #[test]
 fn a_service_that_is_hardly_used_counts_as_free() {
     let mut owner = Owner::new(1);
@@ -333,7 +338,7 @@
             milli_cores: 0,
             ..idle.size
         },
-        fills_milli: 200,
+        best_effort_milli: 200,
         ..Behaviour::default()
     };
     owner.behaviours.insert((3, 0), behaviour);
@@ -423,7 +428,7 @@
         wide.size.milli_cores = 6_000;
         let behaviour = Behaviour {
             size: wide.size,
-            lasts: true,
+            long_running: true,
             ..Behaviour::default()
         };
         owner.behaviours.insert((job, 0), behaviour);
--- a/crates/stackpier-cell/tests/superseded.rs
+++ b/crates/stackpier-cell/tests/superseded.rs
@@ -2,13 +2,13 @@
 //! An owner that cannot reach the store while a successor takes over the cell.
 //!
 //! The failure: tasks ran twice at the same time, or ran again after their end was acknowledged.
-//! A data centre was cut off for 5.5 s, and a second after it the owner's own data centre, with
-//! the store beyond the cut. A successor took over, contacted the workers of the first data centre
-//! when they were back, renewed their leases and acknowledged ends.
+//! A data centre was cut off for 5.5 s, and a second later the owner's own data centre was cut off
+//! too, from the store as well. A successor took over, contacted the workers of the first data
+//! centre when they were back, renewed their leases and acknowledged ends.
 //!
-//! How it came about: the earlier owner still had 5 s of authority. By its own record the leases
-//! in the first data centre expired in that time, so it started their tasks again on workers in
-//! its own data centre, which had not seen a higher fencing token.
+//! How it came about: the predecessor still had 5 s of authority. By its own record the leases in
+//! the first data centre expired in that time, so it started their tasks again on workers in its
+//! own data centre, which had not seen a higher fencing token.
 //!
 //! The cause: if a worker is silent until its lease expires, or a new incarnation answers at its
 //! address, an owner knows that nothing runs there any more. It does not know what a successor did
@@ -30,15 +30,15 @@
 const LEASE_MS: u64 = 6_400;
 /// INHERITED_MS is how long an owner waits for workers that its predecessor held leases on.
 const INHERITED_MS: u64 = 11_800;
-/// CROWD_AT_MS is when the crowd job is submitted to such an owner: it still runs at the end of
+/// LARGE_JOB_AT_MS is when the large job is submitted to such an owner: it still runs at the end of
 /// the wait.
-const CROWD_AT_MS: u64 = 5_500;
-/// CROWD_MS is how long the crowd job runs, which takes all the capacity of a worker.
-const CROWD_MS: u32 = 8_000;
+const LARGE_JOB_AT_MS: u64 = 5_500;
+/// LARGE_JOB_MS is how long the large job runs, which takes all the capacity of a worker.
+const LARGE_JOB_MS: u32 = 8_000;
 /// TICK_MS is the time between two ticks, with the time that the store takes to answer.
 const TICK_MS: u64 = 55;
 
-fn long_running() -> Step {
+fn long_running_step() -> Step {
     Step {
         long_running: true,
         ..step(1)
@@ -71,9 +71,9 @@
     owner.workers[place] = Worker::new(next, 9_000, owner.now_ms);
 }
 
-/// Silence is how an owner learns that a task's run is over.
+/// Evidence is what shows an owner that a task's run is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Silence {
+enum Evidence {
     /// The worker did not answer until its lease expired.
     Lease,
     /// Another incarnation answers at the worker's address.
@@ -81,12 +81,12 @@
 }
 
 #[rstest]
-#[case::lease(Silence::Lease)]
-#[case::incarnation(Silence::Incarnation)]
-fn without_the_store_tasks_of_silent_workers_do_not_start(#[case] silence: Silence) {
-    let shape = match silence {
-        Silence::Lease => long_running(),
-        Silence::Incarnation => step(1),
+#[case::lease(Evidence::Lease)]
+#[case::incarnation(Evidence::Incarnation)]
+fn without_the_store_tasks_of_silent_workers_do_not_start(#[case] evidence: Evidence) {
+    let shape = match evidence {
+        Evidence::Lease => long_running_step(),
+        Evidence::Incarnation => step(1),
     };
     let mut earlier = Owner::new(2);
     earlier.submit(1, spec(vec![shape.clone()]));
@@ -97,14 +97,14 @@
     earlier.store = false;
     earlier.advance(500);
     let mut later = successor(&earlier, place, shape);
-    match silence {
-        Silence::Lease => {
+    match evidence {
+        Evidence::Lease => {
             earlier.advance(LEASE_MS - 4_500);
             later.advance(LEASE_MS - 4_600);
             assert_eq!(later.workers[place].runs.len(), 1, "the successor renewed");
         }
-        Silence::Incarnation => {
-            let acked = &later.workers[place].noted;
+        Evidence::Incarnation => {
+            let acked = &later.workers[place].acked;
             assert!(
                 acked.iter().any(|end| end.cause == EndCause::Done),
                 "{acked:?}"
@@ -121,12 +121,12 @@
     assert_eq!(earlier.starts.len(), 2);
 }
 
-/// The leases of an earlier owner also count as expired without an answer of the workers. The
-/// tasks still wait for the store's confirmation.
+/// The leases of a predecessor also count as expired without an answer of the workers. The tasks
+/// still wait for the store's confirmation.
 #[rstest]
-#[case::leases(Silence::Lease)]
-#[case::incarnation(Silence::Incarnation)]
-fn without_the_store_inherited_tasks_keep_waiting(#[case] silence: Silence) {
+#[case::leases(Evidence::Lease)]
+#[case::incarnation(Evidence::Incarnation)]
+fn without_the_store_inherited_tasks_keep_waiting(#[case] evidence: Evidence) {
     let mut owner = Owner::with(2, 2, true);
     owner.cell.add_roster(&RosterEntry {
         id: "w1".to_owned(),
@@ -137,9 +137,9 @@
     owner.submit_to(1, QUEUE, spec(vec![step(1)]), 1, None);
     owner.advance(10_000);
     owner.store = false;
-    match silence {
-        Silence::Lease => owner.advance(3_000),
-        Silence::Incarnation => {
+    match evidence {
+        Evidence::Lease => owner.advance(3_000),
+        Evidence::Incarnation => {
             replace_incarnation(&mut owner, 1);
             owner.cut[1] = false;
             owner.advance(1_000);
@@ -151,7 +151,7 @@
     assert_eq!(owner.places(1, 0), [0]);
 }
 
-/// A later owner may take over while an owner still reads the cell from the store: its authority
+/// A successor may take over while an owner still reads the cell from the store: its authority
 /// counts from the store's last confirmation, not from the end of the reading.
 #[test]
 fn an_owner_that_took_long_to_read_gives_no_orders_before_it_is_confirmed() {
@@ -174,8 +174,8 @@
     assert_eq!(owner.starts.len(), 1);
 }
 
-/// A worker that was given up is not in the roster, so a later owner would not wait for it: it
-/// gets no starts before it is in the roster again.
+/// A worker that was given up is not in the roster, so a successor would not wait for it: it gets
+/// no starts before it is in the roster again.
 #[test]
 fn a_worker_that_is_listed_again_gets_no_starts_before_the_roster_has_it() {
     let mut owner = Owner::new(1);
@@ -214,7 +214,7 @@
 #[test]
 fn without_the_store_long_running_tasks_of_a_dead_worker_start_elsewhere() {
     let mut owner = Owner::new(2);
-    owner.submit(1, spec(vec![long_running()]));
+    owner.submit(1, spec(vec![long_running_step()]));
     owner.advance(300);
     owner.store = false;
     let place = owner.starts[0].1;
@@ -243,8 +243,8 @@
 }
 
 /// Guards against copies of a task that has ended. Found by the fuzz test (all kinds of faults,
-/// rate 5, seed 6): an earlier owner without the store took a run on an unreachable worker for a
-/// slow one, and started a copy elsewhere, 1.6 s after the later owner had acknowledged its end.
+/// rate 5, seed 6): a predecessor without the store took a run on an unreachable worker for a slow
+/// one, and started a copy elsewhere, 1.6 s after the successor had acknowledged its end.
 #[test]
 fn a_copy_starts_only_while_no_later_owner_can_have_acknowledged_the_end() {
     let shape = Step {
@@ -260,7 +260,7 @@
     earlier.store = false;
     let mut later = successor(&earlier, place, shape);
     later.advance(2_500);
-    let acked = &later.workers[place].noted;
+    let acked = &later.workers[place].acked;
     assert!(
         acked.iter().any(|end| end.cause == EndCause::Done),
         "{acked:?}"
@@ -273,10 +273,10 @@
     assert_eq!(earlier.starts.len(), 2);
 }
 
-/// crowd returns a job that takes all the capacity of one worker for longer than a lease.
-fn crowd() -> Spec {
+/// large_job returns a job that takes all the capacity of one worker for longer than a lease.
+fn large_job() -> Spec {
     let shape = Step {
-        estimate_ms: CROWD_MS,
+        estimate_ms: LARGE_JOB_MS,
         ..step(8)
     };
     spec(vec![shape])
@@ -286,7 +286,7 @@
 /// of faults: rate 15, seeds 80171 and 80980; rate 5, seed 80811): a task's worker was cut off
 /// until its lease expired, and the store confirmed the ownership after that. The task waited for
 /// free capacity. Then its owner was cut off, too. A successor reached the worker, and showed the
-/// job as completed. When the earlier owner had free capacity, it started the task, 3 to 4 s after
+/// job as completed. When the predecessor had free capacity, it started the task, 3 to 4 s after
 /// the store's last confirmation. That confirmation shows that no successor had reached the worker
 /// by then, but not that none has reached it since.
 #[test]
@@ -298,7 +298,7 @@
     earlier.cut[place] = true;
     earlier.advance(1_000);
     end_unreported(&mut earlier, place);
-    earlier.submit(2, crowd());
+    earlier.submit(2, large_job());
     earlier.advance(LEASE_MS);
     check_fresh_confirmation(earlier, place);
 }
@@ -314,9 +314,9 @@
     earlier.feed(Event::Listed(info(1 - place)));
     earlier.advance(1_000);
     end_unreported(&mut earlier, place);
-    earlier.advance(CROWD_AT_MS);
-    earlier.submit_to(2, QUEUE, crowd(), 2, None);
-    earlier.advance(INHERITED_MS - CROWD_AT_MS);
+    earlier.advance(LARGE_JOB_AT_MS);
+    earlier.submit_to(2, QUEUE, large_job(), 2, None);
+    earlier.advance(INHERITED_MS - LARGE_JOB_AT_MS);
     check_fresh_confirmation(earlier, place);
 }
 
@@ -332,7 +332,7 @@
 }
 
 /// check_fresh_confirmation lets a successor receive the end of a task on a worker, and then gives
-/// the earlier owner free capacity for the task, first without the store.
+/// the predecessor free capacity for the task, first without the store.
 fn check_fresh_confirmation(mut earlier: Owner, place: usize) {
     let before = earlier.starts_of(name(1, 0, 0));
     earlier.store = false;
@@ -355,7 +355,7 @@
 
 /// Guards against a start that is sent on an old confirmation, found by the fuzz test with a copy:
 /// a start that may crash its worker waits for a save. The save took a second, and the start was
-/// sent after it, although a later owner might have acknowledged the end of its task meanwhile.
+/// sent after it, although a successor might have acknowledged the end of its task meanwhile.
 #[test]
 fn a_start_that_waited_long_for_a_save_is_not_sent_without_a_confirmation() {
     let mut owner = Owner::new(2);
@@ -380,7 +380,7 @@
     assert_eq!(
         owner.starts_of(name(1, 0, 0)),
         1,
-        "a later owner may know its end"
+        "a successor may know its end"
     );
     owner.store = true;
     owner.save_ms = 2;
--- a/crates/stackpier-cell/tests/waiting.rs
+++ b/crates/stackpier-cell/tests/waiting.rs
@@ -56,12 +56,12 @@
             },
             ..shape.size
         },
-        fills_milli: if shape.best_effort {
+        best_effort_milli: if shape.best_effort {
             shape.size.milli_cores
         } else {
             0
         },
-        lasts: true,
+        long_running: true,
         tail_ms: (shape.target_ms > 0).then_some(8),
         ..Behaviour::default()
     };
@@ -116,7 +116,8 @@
 }
 
 /// Guards against a long-running task that loses its rank because another of its step ends: the
-/// capacity that this one releases goes to narrow tasks, though the first has waited for long.
+/// capacity that this one releases goes to narrow tasks, though the first has waited for a long
+/// time.
 #[test]
 fn a_long_running_task_keeps_its_rank_when_another_of_its_step_ends() {
     let mut owner = Owner::new(1);
--- a/crates/stackpier-coordination/src/owner/calls.rs
+++ b/crates/stackpier-coordination/src/owner/calls.rs
@@ -11,12 +11,14 @@
 use super::{Contact, NO_SLOWDOWN_MILLI, Owner};
 use crate::{effect::Effect, membership::Table};
 
-/// URGENT_GAP_MS is the shortest time between two calls to a worker, in
-/// milliseconds.
+/// URGENT_GAP_MS is the shortest time between two calls to a worker that has
+/// runs to start or stop, in milliseconds.
 const URGENT_GAP_MS: u64 = 20;
 
 impl Owner {
-    pub(super) fn synced(
+    /// receive_reply records a worker's reply, unless it is older than the last
+    /// one of the same boot. `None` means that the worker did not answer.
+    pub(super) fn receive_reply(
         &mut self,
         now: Millis,
         worker: Name,
@@ -33,7 +35,7 @@
         }
         contact.boot = reply.boot;
         contact.clock = reply.clock;
-        contact.heard = now;
+        contact.last_contact = now;
         contact.running = reply.running.into_iter().collect();
         contact.ended = reply
             .ended
@@ -45,11 +47,13 @@
         self.learn(now, worker, &reply.usage, effects);
     }
 
+    /// call_workers calls the workers whose call is due, if this daemon renews
+    /// the rack's leases.
     pub(super) fn call_workers(&mut self, now: Millis, table: &Table, effects: &mut Vec<Effect>) {
         if !self.renews() {
             self.contacts.clear();
-            self.lapsing.clear();
-            self.told.clear();
+            self.expiring.clear();
+            self.unwritten.clear();
             return;
         }
         let Some((_, page)) = &self.page else { return };
@@ -60,15 +64,15 @@
             return;
         }
         let open = |worker: Name, run: &Run| page.live(worker).any(|row| row.run == *run);
-        self.lapsing
+        self.expiring
             .retain(|worker, runs| runs.iter().any(|run| open(*worker, run)));
         let callable = |w: &&Worker| w.condition != Condition::Gone && table.vm(w.name).is_some();
         for worker in page.workers.iter().filter(callable) {
             let contact = self.contacts.entry(worker.name).or_insert_with(|| Contact {
-                heard: now,
+                last_contact: now,
                 ..Contact::default()
             });
-            if !due(now, page, worker, contact, self.options.sync_ms) {
+            if !is_due(now, page, worker, contact, self.options.sync_ms) {
                 continue;
             }
             contact.calling = true;
@@ -78,39 +82,40 @@
                     .is_some_and(|row| row.phase == Phase::Running)
             };
             self.evict.retain(open);
-            let mut call = call(page, worker, contact, term, self.options.lease_ms);
-            if self.lapsing.contains_key(&worker.name) {
-                call = probe(&call);
+            let mut call = build_call(page, worker, contact, term, self.options.lease_ms);
+            if self.expiring.contains_key(&worker.name) {
+                call = build_probe(&call);
             }
             effects.push(Effect::Sync(worker.name, call));
         }
     }
 }
 
-/// due tells whether a worker is to be called now: after `sync_ms` or, if that
-/// is urgent, after a shorter time.
-fn due(now: Millis, page: &Rack, worker: &Worker, contact: &Contact, sync_ms: u64) -> bool {
+/// is_due reports whether a worker should be called now: after `sync_ms`, or
+/// after URGENT_GAP_MS if it has runs to start or stop.
+fn is_due(now: Millis, page: &Rack, worker: &Worker, contact: &Contact, sync_ms: u64) -> bool {
     if contact.calling {
         return false;
     }
     let passed = |wait_ms| contact.called.is_none_or(|at| now.since(at) >= wait_ms);
-    passed(sync_ms) || (passed(URGENT_GAP_MS) && urgent(page, worker, contact))
+    passed(sync_ms) || (passed(URGENT_GAP_MS) && has_urgent_runs(page, worker, contact))
 }
 
-/// urgent tells whether a worker has runs to start or stop.
-fn urgent(page: &Rack, worker: &Worker, contact: &Contact) -> bool {
-    if contact.boot != worker.boot || contact.called.is_some_and(|at| at > contact.heard) {
+/// has_urgent_runs reports whether a worker has runs to start or stop.
+fn has_urgent_runs(page: &Rack, worker: &Worker, contact: &Contact) -> bool {
+    if contact.boot != worker.boot || contact.called.is_some_and(|at| at > contact.last_contact) {
         return false;
     }
     page.live(worker.name).any(|row| match row.phase {
-        Phase::Running => to_start(row, contact),
+        Phase::Running => must_start(row, contact),
         Phase::Stopping => !contact.ended.contains_key(&row.run),
         Phase::Ended(_) => false,
     })
 }
 
-/// probe asks a worker for its reply and has no effect there.
-fn probe(call: &Call) -> Call {
+/// build_probe returns a call that only requests the worker's reply. It changes
+/// nothing on the worker: without the boot it renews no lease.
+fn build_probe(call: &Call) -> Call {
     Call {
         boot: Boot::default(),
         start: Vec::new(),
@@ -121,12 +126,14 @@
     }
 }
 
-fn to_start(row: &Row, contact: &Contact) -> bool {
+/// must_start reports whether the worker has not yet reported a row's run, neither
+/// as running nor as ended.
+fn must_start(row: &Row, contact: &Contact) -> bool {
     !contact.running.contains(&row.run) && !contact.ended.contains_key(&row.run)
 }
 
-/// call builds the call to a worker from the page and the last reply.
-fn call(page: &Rack, worker: &Worker, contact: &Contact, term: u64, lease_ms: u64) -> Call {
+/// build_call returns the call to a worker from the page and the last reply.
+fn build_call(page: &Rack, worker: &Worker, contact: &Contact, term: u64, lease_ms: u64) -> Call {
     let mut call = Call {
         boot: Boot::default(),
         term,
@@ -143,7 +150,7 @@
     call.boot = worker.boot;
     for row in page.live(worker.name) {
         match row.phase {
-            Phase::Running if to_start(row, contact) => call.start.push(Start {
+            Phase::Running if must_start(row, contact) => call.start.push(Start {
                 run: row.run,
                 work: row.work,
                 checkpoint: row.checkpoint,
--- a/crates/stackpier-coordination/src/owner/read.rs
+++ b/crates/stackpier-coordination/src/owner/read.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The owner's reads: its rack's page, and shards of homes.
+//! The owner's reads of its rack's page and of shards of homes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,18 +16,25 @@
     membership::Table,
 };
 
-/// Reading collects shards of homes.
+/// Reading collects the shards of homes that are being read.
 #[derive(Clone, Debug)]
 pub(super) struct Reading {
     pub(super) waiting: BTreeSet<u16>,
     pub(super) got: Snapshots,
 }
 
-/// Snapshots are shards of homes with the revisions they were read at.
+/// Snapshots maps shards of homes to their pages and the revisions read.
 pub(super) type Snapshots = BTreeMap<u16, (Revision, homes::Shard)>;
 
 impl Owner {
-    pub(super) fn loaded(&mut self, now: Millis, fetched: Fetched, effects: &mut Vec<Effect>) {
+    /// receive_page replaces the page by the one that was read, unless the read
+    /// failed or the known page is newer.
+    pub(super) fn receive_page(
+        &mut self,
+        now: Millis,
+        fetched: Fetched,
+        effects: &mut Vec<Effect>,
+    ) {
         if !matches!(self.step, Step::Loading) {
             return;
         }
@@ -40,7 +47,8 @@
         self.stale = false;
     }
 
-    /// adopt takes a newer page that another daemon may have written.
+    /// adopt replaces the page by a newer one, which another daemon may have
+    /// written.
     fn adopt(&mut self, now: Millis, revision: Revision, page: Rack, effects: &mut Vec<Effect>) {
         if self.page.as_ref().is_some_and(|(old, _)| *old > revision) {
             return;
@@ -54,14 +62,17 @@
             effects.push(Effect::Note(Note::GaveUp(self.rack, term)));
         }
         if renews && !self.renews() {
-            // A lost reply hid that our own take-over was written.
+            // This daemon's take-over was written, but the store's reply was
+            // lost.
             self.sole_since = page.former.is_empty().then_some((term, now));
             self.contacts.clear();
         }
         self.page = Some((revision, page));
     }
 
-    pub(super) fn homes_read(&mut self, shard: u16, fetched: Fetched) {
+    /// receive_homes collects a shard of homes that was read. One that could not
+    /// be read is read again later.
+    pub(super) fn receive_homes(&mut self, shard: u16, fetched: Fetched) {
         let Step::Reading(reading) = &mut self.step else {
             return;
         };
@@ -81,6 +92,7 @@
         }
     }
 
+    /// read_homes requests the shards of homes that have to be read.
     pub(super) fn read_homes(&mut self, table: &Table, effects: &mut Vec<Effect>) {
         if self.dirty.is_empty() {
             return;
--- a/crates/stackpier-coordination/src/owner/report.rs
+++ b/crates/stackpier-coordination/src/owner/report.rs
@@ -9,13 +9,14 @@
 };
 
 use super::Owner;
-use crate::interference::LEAST_REPORTED;
+use crate::interference::MIN_REPORTED_EXCESS;
 
-/// QUIET_SYNCS is the count of missed calls after which a worker is offered
-/// no new tasks.
-const QUIET_SYNCS: u64 = 3;
+/// MAX_MISSED_SYNCS is the number of intervals between calls without a reply
+/// after which a worker is offered no new tasks.
+const MAX_MISSED_SYNCS: u64 = 3;
 
 impl Owner {
+    /// update_report builds the report, and numbers it as a new one if it changed.
     pub(super) fn update_report(&mut self, now: Millis) {
         let Some((_, page)) = &self.page else { return };
         let workers = page
@@ -30,7 +31,7 @@
             change: self.report.change,
             workers: workers.collect(),
             endpoints: endpoints.collect(),
-            pairs: self.model.report(LEAST_REPORTED),
+            pairs: self.model.report(MIN_REPORTED_EXCESS),
         };
         if next != self.report {
             self.report = next;
@@ -38,6 +39,8 @@
         }
     }
 
+    /// worker_report returns the report on a worker, or `None` if it was not called
+    /// yet, does not answer, or its breaker is open because runs failed.
     pub(super) fn worker_report(
         &self,
         now: Millis,
@@ -45,12 +48,12 @@
         worker: &Worker,
     ) -> Option<WorkerReport> {
         let contact = self.contacts.get(&worker.name)?;
-        let quiet = now.since(contact.heard) > QUIET_SYNCS * self.options.sync_ms;
+        let silent = now.since(contact.last_contact) > MAX_MISSED_SYNCS * self.options.sync_ms;
         let broken = self
             .breakers
             .get(&worker.name)
             .is_some_and(|b| !b.ready(now));
-        if quiet || broken {
+        if silent || broken {
             return None;
         }
         Some(WorkerReport {
@@ -61,6 +64,9 @@
         })
     }
 
+    /// endpoint returns the endpoint of a row, if it is a service task that its
+    /// worker reported as running, and neither the task is being stopped nor the
+    /// worker is leaving or gone.
     pub(super) fn endpoint(&self, page: &Rack, row: &Row) -> Option<Endpoint> {
         let up = page.worker(row.worker)?.condition == Condition::Up;
         let runs = self.contacts.get(&row.worker)?.running.contains(&row.run);
--- a/crates/stackpier-coordination/src/placer/claim.rs
+++ b/crates/stackpier-coordination/src/placer/claim.rs
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The claim of workers for the waiting tasks of a shard: what the owners of
-//! racks report, less what is claimed on the way, goes to the choice in
-//! [`crate::policy`].
+//! The claim of workers for the waiting tasks of a shard. The choice in
+//! [`crate::policy`] is made from the free capacity that the owners of racks
+//! report, less what this placement attempt has claimed.
 
 use std::collections::BTreeMap;
 
@@ -37,30 +37,31 @@
     if waiting.is_empty() {
         return;
     }
-    waiting.sort_by_key(|place| order(view.catalogue, &next.homes[*place]));
-    let mut candidates = candidates(view, next);
-    let excess = excess(view);
+    waiting.sort_by_key(|place| order_of(view.catalogue, &next.homes[*place]));
+    let mut offers = list_offers(view, next);
+    let excess = combine_estimates(view);
     for place in waiting {
         let home = &mut next.homes[place];
-        let same = same(&candidates, &excess, &home.work);
-        match choose(&home.work, &same, policy) {
+        let choices = fill_candidates(&offers, &excess, &home.work);
+        match choose(&home.work, &choices, policy) {
             Some(chosen) => {
                 home.place = Place::Claimed(Claim {
                     rack: chosen.rack,
                     worker: chosen.worker,
                     stop: false,
                 });
-                take(&mut candidates, &chosen, &home.work);
+                deduct(&mut offers, &chosen, &home.work);
             }
             None => effects.push(Effect::Note(Note::Unplaced(home.run()))),
         }
     }
 }
 
-/// Order sorts waiting tasks: services, then priority, then deadline.
+/// Order is the sort key of waiting tasks: services first, then the highest
+/// priority, then the earliest deadline.
 type Order = (bool, u16, u64, key::Task);
 
-fn order(catalogue: &Catalogue, home: &Home) -> Order {
+fn order_of(catalogue: &Catalogue, home: &Home) -> Order {
     let object = catalogue.object(home.work.name);
     let priority = object.map_or(0, |object| object.intent.priority);
     let deadline = match object.map(|object| &object.intent.kind) {
@@ -71,14 +72,16 @@
     (batch, u16::MAX - priority, deadline, home.work.task)
 }
 
-/// Offer is a candidate with the tasks of this shard already on it.
+/// Offer is a candidate with the intents of this shard's tasks on it and the
+/// services that run on it.
 struct Offer {
     candidate: Candidate,
     names: Vec<Name>,
     services: Vec<Name>,
 }
 
-fn candidates(view: View<'_>, next: &Shard) -> Vec<Offer> {
+/// list_offers returns an offer for each reported worker that is listed as live.
+fn list_offers(view: View<'_>, next: &Shard) -> Vec<Offer> {
     let mut offers = Vec::new();
     for report in view.racks.values() {
         for worker in &report.workers {
@@ -97,7 +100,7 @@
                     same_on_worker: 0,
                 },
                 names: Vec::new(),
-                services: services(report, worker.worker),
+                services: services_on(report, worker.worker),
             });
         }
     }
@@ -113,12 +116,12 @@
     offers
 }
 
-/// Excess is the slowdown that pairs are known for, in thousandths.
+/// Excess maps pairs to the slowdown that the batch job adds, in thousandths.
 type Excess = BTreeMap<Pair, u32>;
 
-/// excess joins what the owners of racks have learnt; of two estimates of a
-/// pair the more certain one counts.
-fn excess(view: View<'_>) -> Excess {
+/// combine_estimates combines the estimates of the owners of racks. Of two
+/// estimates of a pair the one with the smaller deviation is used.
+fn combine_estimates(view: View<'_>) -> Excess {
     let mut best: BTreeMap<Pair, PairReport> = BTreeMap::new();
     for report in view.racks.values().flat_map(|report| &report.pairs) {
         let pair = Pair {
@@ -135,8 +138,8 @@
         .collect()
 }
 
-/// services returns the services that run on a worker.
-fn services(report: &RackReport, worker: Name) -> Vec<Name> {
+/// services_on returns the services that run on a worker.
+fn services_on(report: &RackReport, worker: Name) -> Vec<Name> {
     let here = report
         .endpoints
         .iter()
@@ -144,8 +147,10 @@
     here.map(|endpoint| endpoint.service).collect()
 }
 
-/// same fills in how many tasks of the same intent each candidate has.
-fn same(offers: &[Offer], excess: &Excess, work: &Work) -> Vec<Candidate> {
+/// fill_candidates returns the candidates with what depends on the task: the
+/// slowdown that it adds, and how many tasks of the same intent are on the
+/// worker and rack.
+fn fill_candidates(offers: &[Offer], excess: &Excess, work: &Work) -> Vec<Candidate> {
     let count = |offer: &Offer| {
         offer
             .names
@@ -173,7 +178,9 @@
     offers.iter().map(filled).collect()
 }
 
-fn take(offers: &mut [Offer], chosen: &Candidate, work: &Work) {
+/// deduct subtracts a task from the free capacity of the worker that it has
+/// claimed.
+fn deduct(offers: &mut [Offer], chosen: &Candidate, work: &Work) {
     let found = offers
         .iter_mut()
         .find(|offer| offer.candidate.worker == chosen.worker);
--- a/crates/stackpier-coordination/src/placer/commit.rs
+++ b/crates/stackpier-coordination/src/placer/commit.rs
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The placer's commits: when the shard's page is written, and what follows.
+//! The placer's commits: when the shard's page is written, and what is sent
+//! afterwards.
 
 use stackpier_core::Millis;
 use stackpier_state::{
@@ -14,7 +15,8 @@
     interval::interval_ms,
 };
 
-/// Seen is what a look at the shard went by.
+/// Seen holds the versions of the intents and of the page at a placement
+/// attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Seen {
     pub(super) changes: u64,
@@ -22,14 +24,16 @@
 }
 
 impl Placer {
-    /// interval_ms is the shortest time between two commits, in milliseconds:
-    /// shorter while urgent work waits.
+    /// interval_ms returns the shortest time between two commits, in
+    /// milliseconds. It is shorter while urgent work waits.
     pub(super) fn interval_ms(&self) -> u64 {
         let waits = |home: &Home| home.work.urgent && home.place == Place::Pending;
         let urgent = self.page().is_some_and(|page| page.homes.iter().any(waits));
         interval_ms(self.options.commit_ms, urgent || self.urgent)
     }
 
+    /// try_swap updates a copy of the page, places its waiting tasks, and requests
+    /// the swap if the copy differs from the page.
     pub(super) fn try_swap(
         &mut self,
         now: Millis,
@@ -51,18 +55,18 @@
         let retry = self
             .waiting
             .is_some_and(|at| now.since(at) >= self.options.commit_ms);
-        if self.seen == Some(seen) && self.told.is_empty() && !retry {
+        if self.seen == Some(seen) && self.unwritten.is_empty() && !retry {
             return;
         }
         self.seen = Some(seen);
         self.urgent = false;
         let mut next = page.clone();
-        release(&self.told, &mut next);
+        release(&self.unwritten, &mut next);
         self.reconcile(view, &mut next);
         claim::place(view, self.options.policy, &mut next, effects);
         let waits = next.homes.iter().any(|home| home.place == Place::Pending);
         self.waiting = waits.then_some(now);
-        self.taken = std::mem::take(&mut self.told);
+        self.writing = std::mem::take(&mut self.unwritten);
         let unchanged = next == *page;
         let revision = *revision;
         self.step = Step::Idle;
@@ -77,24 +81,26 @@
         effects.push(Effect::Swap(key, revision, page));
     }
 
-    pub(super) fn swapped(&mut self, swap: Swapped, effects: &mut Vec<Effect>) {
+    /// finish_swap processes the outcome of the pending swap.
+    pub(super) fn finish_swap(&mut self, swap: Swapped, effects: &mut Vec<Effect>) {
         let Step::Swapping(next) = std::mem::replace(&mut self.step, Step::Idle) else {
             return;
         };
         let Swapped::Won(revision) = swap else {
-            // Nothing is believed of an unclear write before it is read back.
+            // The swap lost, or its outcome is unknown: nothing is concluded
+            // from it before the page is read again.
             self.stale = true;
             self.seen = None;
-            self.told.append(&mut self.taken);
+            self.unwritten.append(&mut self.writing);
             return;
         };
-        self.taken.clear();
+        self.writing.clear();
         let old = self.page.replace((revision, *next)).map(|(_, page)| page);
-        self.tell_racks(&old.unwrap_or_default(), effects);
+        self.send_changes(&old.unwrap_or_default(), effects);
     }
 }
 
-/// release moves homes on whose claimed run has ended on its rack's page.
+/// release frees the homes whose claimed run has ended on its rack's page.
 fn release(ends: &Ends, next: &mut Shard) {
     if ends.is_empty() {
         return;
--- a/crates/stackpier-coordination/src/placer/words.rs
+++ b/crates/stackpier-coordination/src/placer/messages.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What the placer tells racks of their claims.
+//! The placer's messages to racks about their claims.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +14,9 @@
 use crate::effect::{Effect, Note};
 
 impl Placer {
-    /// tell_racks tells each rack what changed of its claims.
-    pub(super) fn tell_racks(&self, old: &Shard, effects: &mut Vec<Effect>) {
+    /// send_changes sends each rack the changes of its claims since the `old`
+    /// page.
+    pub(super) fn send_changes(&self, old: &Shard, effects: &mut Vec<Effect>) {
         let Some((_, page)) = &self.page else { return };
         let before: BTreeMap<key::Task, &Home> = old
             .homes
@@ -43,7 +44,7 @@
         self.send_claims(racks, effects);
     }
 
-    /// claims returns the word to a rack, made on first use.
+    /// claims returns the message to a rack, created on first use.
     pub(super) fn claims<'a>(
         &self,
         racks: &'a mut BTreeMap<Name, Claims>,
@@ -60,7 +61,7 @@
         })
     }
 
-    /// send_claims fills in the sums and sends the words.
+    /// send_claims adds the sums and sends the messages.
     pub(super) fn send_claims(&self, racks: BTreeMap<Name, Claims>, effects: &mut Vec<Effect>) {
         let Some((_, page)) = &self.page else { return };
         for (rack, mut claims) in racks {
--- a/crates/stackpier-coordination/tests/reaction.rs
+++ b/crates/stackpier-coordination/tests/reaction.rs
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-//! What is learnt of pairs, and what is done about slowed services.
+//! Tests of the interference estimates and of the reaction to slowed services.
 
 use std::collections::BTreeMap;
 
 use stackpier_coordination::{
     history::History,
-    interference::{self, LEAST_REPORTED, Model, Pair, Sample},
+    interference::{self, MIN_REPORTED_EXCESS, Model, Pair, Sample},
     reaction::{Action, Budget, Options, Suspect, Watch},
 };
 use stackpier_core::{
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn model_tells_the_noisy_neighbour_from_the_quiet_one() {
+fn model_distinguishes_noisy_from_quiet_neighbour() {
     let mut model = Model::new(interference::Options::default());
     let (victim, noisy, quiet) = (name("fleet"), name("noisy"), name("quiet"));
     let together = BTreeMap::from([(noisy, 1), (quiet, 1)]);
@@ -49,17 +49,19 @@
         });
     }
     let mean = |neighbour| model.estimate(Pair { victim, neighbour }).mean;
-    // The truth is 1.0; the filter is within a fifth after twenty samples.
+    // The true excess is 1.0; after twenty samples the estimate is within a
+    // fifth of it.
     assert!((0.8..1.2).contains(&mean(noisy)), "{}", mean(noisy));
-    // Some blame of the first joint samples stays with the quiet one for long,
-    // as the filter keeps no covariance; it must stay below what is told.
-    assert!(mean(quiet) < LEAST_REPORTED, "{}", mean(quiet));
-    let told: Vec<Name> = model
-        .report(LEAST_REPORTED)
+    // The first samples with both neighbours raise the estimate of the quiet
+    // one too, and for long, as the filter keeps no covariance. It must stay
+    // below what is reported to placers.
+    assert!(mean(quiet) < MIN_REPORTED_EXCESS, "{}", mean(quiet));
+    let reported: Vec<Name> = model
+        .report(MIN_REPORTED_EXCESS)
         .iter()
         .map(|pair| pair.neighbour)
         .collect();
-    assert_eq!(told, [noisy]);
+    assert_eq!(reported, [noisy]);
 }
 
 #[test]
--- a/crates/stackpier-fuzz/src/placement/daemon.rs
+++ b/crates/stackpier-fuzz/src/placement/daemon.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! A simulated daemon: its decision machines, and the events that they receive.
+//! A simulated daemon: its state machines, and the events that they receive.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -38,11 +38,11 @@
     sweep_ms: 1_000,
     shards: SHARDS,
     policy: policy::Options {
-        most_excess_milli: 300,
+        max_excess_milli: 300,
     },
 };
 
-/// Daemon holds the decision machines of one daemon, and the state that they
+/// Daemon holds the state machines of one daemon, and the state that they
 /// share.
 #[derive(Debug)]
 pub(super) struct Daemon {
@@ -70,7 +70,7 @@
         };
         let options = membership::Options { silence_ms: 1_500 };
         let mut table = Table::new(me, data_centre(), options);
-        table.list(self.roster.clone());
+        table.update_roster(self.roster.clone());
         let owners = (0..RACKS).map(|n| (rack(n), Owner::new(rack(n), me, OWNER)));
         let placers = (0..SHARDS).map(|shard| (shard, Placer::new(shard, PLACER)));
         Daemon {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// tick gives a tick to all decision machines of a daemon.
+    /// tick gives a tick to all state machines of a daemon.
     pub(super) fn tick(&mut self, number: usize) {
         if self.daemons[number].frozen || self.daemons[number].dead {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// step_machine gives one event to one decision machine of a daemon, and
+    /// step_machine gives one event to one state machine of a daemon, and
     /// performs the effects that it returns.
     pub(super) fn step_machine(&mut self, number: usize, target: Target, event: Event) {
         let time = self.time;
--- a/crates/stackpier-scheduler/src/explain.rs
+++ b/crates/stackpier-scheduler/src/explain.rs
@@ -32,7 +32,10 @@
     pub(crate) async fn answer_explain(&self, method: &Method, id: &str) -> Reply<Full<Bytes>> {
         let explained = match *method {
             Method::GET => self.explain(id).await,
-            _ => Err(Error::new(Kind::WrongMethod, "an explanation is only read")),
+            _ => Err(Error::new(
+                Kind::WrongMethod,
+                "an explanation supports only GET",
+            )),
         };
         let (status, body) = match explained {
             Ok(explained) => (200, to_json(&explained)),
@@ -44,7 +47,7 @@
         match body {
             Ok(body) => answer(status, body, None),
             Err(error) => {
-                self.say("daemon", &format!("cannot encode an explanation: {error}"));
+                self.log_line("daemon", &format!("cannot encode an explanation: {error}"));
                 answer(500, Vec::new(), None)
             }
         }
@@ -95,7 +98,7 @@
                     "cannot get the metrics address of {}: {error}",
                     ownership.vm
                 );
-                self.say("daemon", &text);
+                self.log_line("daemon", &text);
                 None
             }
         }
--- a/crates/stackpier-scheduler/src/monitor.rs
+++ b/crates/stackpier-scheduler/src/monitor.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Heartbeats to the cell's owner, and the take-over of the cell when the owner fails.
+//! Heartbeats to the cell's owner, and the takeover of the cell when the owner fails.
 //!
 //! Followers send heartbeats to the owner. When it does not answer, the daemons try to take
 //! over by rank: each waits a little longer than the one ranked before it. A candidate
@@ -36,8 +36,8 @@
 const SLOW_HEARTBEAT_MS: u64 = 1_500;
 /// HEARTBEAT_TIMEOUT bounds the wait for the answer to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
-/// SILENT_MS is how long the owner may leave heartbeats unanswered before a take-over:
-/// three heartbeats and a margin. Large transfers on a slow link extend it, see
+/// SILENT_MS is how long the owner may leave heartbeats unanswered before a takeover: three
+/// heartbeats and a margin. Large transfers on a slow link extend it, see
 /// [`Monitor::silence_limit_ms`].
 const SILENT_MS: u64 = 900;
 /// CELL_BYTES is the size of the cell in the store, as seen in current deployments. A new
@@ -46,12 +46,13 @@
 /// WIRE_BITS_PER_BYTE is how many bits on the link a byte of a value takes: 8 bits times
 /// four thirds for base64, and a tenth for headers.
 const WIRE_BITS_PER_BYTE: u64 = 12;
-/// STORELESS_MS is how long the owner may be without the store, while this daemon reaches
-/// it, before a take-over.
+/// STORELESS_MS is how long the owner may be without the store, while this daemon reaches it,
+/// before a takeover.
 const STORELESS_MS: u64 = 1_000;
 /// RANK_MS is how much longer each daemon waits than the one ranked before it.
 const RANK_MS: u64 = 250;
-/// VOTE_TIMEOUT bounds the wait for another daemon's answer whether it reaches the owner.
+/// VOTE_TIMEOUT bounds the wait for another daemon's vote: its answer to whether it reaches
+/// the owner.
 const VOTE_TIMEOUT: Duration = Duration::from_millis(150);
 /// REGISTER_RETRY_MS is the pause before registering is retried.
 const REGISTER_RETRY_MS: u64 = 200;
@@ -73,11 +74,13 @@
 /// Monitor sends heartbeats to the owner and takes the cell over when the owner fails.
 struct Monitor<P> {
     node: Node<P>,
+    /// The reason to take over, if there is one, and since when it has lasted.
     reason: Option<(Reason, Millis)>,
     /// When this daemon last sent a heartbeat.
     sent: Millis,
     /// The fence of the owner that last answered a heartbeat.
     answered: u64,
+    /// Since when the owner has been without the store while this daemon reaches it.
     storeless_since: Option<Millis>,
 }
 
@@ -111,7 +114,7 @@
         milli_cores: node.settings.milli_cores,
         link_kbps: node.settings.link_kbps,
     };
-    let value = encode(&member).expect("a member is encoded");
+    let value = encode(&member).expect("a member can be encoded");
     let transaction = Transaction {
         puts: vec![Put {
             key: keys::member(&member.vm),
@@ -122,7 +125,7 @@
     while !matches!(node.store_commit(&transaction).await, Committed::Done(_)) {
         pause(REGISTER_RETRY_MS).await;
     }
-    node.say("member", "registered in the store");
+    node.log_line("member", "registered in the store");
 }
 
 async fn probe<P: Platform>(node: Node<P>) {
@@ -169,7 +172,7 @@
 
     /// unloaded returns the ownership if the store shows it as this daemon's but the cell
     /// was not loaded. This happens when the answer to the swap was lost and the daemon
-    /// learned of its success later.
+    /// learnt of its success later.
     fn unloaded(&self) -> Option<Owned> {
         let owned = self.owned.borrow().clone()?;
         let ownership = &owned.ownership;
@@ -240,7 +243,7 @@
 
     /// is_owner_gone reports whether the owner's process has ended: a new process has
     /// registered on the owner's VM since. An entry that is older than the ownership proves
-    /// nothing, as the two can be learned of in either order.
+    /// nothing, as a daemon may read the two from the store in either order.
     fn is_owner_gone(&self, owned: &Owned) -> bool {
         let members = self.node.members.borrow();
         let entry = members.get(&owned.ownership.vm);
@@ -293,8 +296,8 @@
             return None;
         }
         let since = *self.storeless_since.get_or_insert(now);
-        let replaced = !self.is_disabled(Mechanism::Storeless);
-        (replaced && now.since(since) >= STORELESS_MS).then_some(Reason::Storeless)
+        let enabled = !self.is_switched_off(Mechanism::Storeless);
+        (enabled && now.since(since) >= STORELESS_MS).then_some(Reason::Storeless)
     }
 
     async fn heartbeat(&self, ownership: &Ownership) -> Option<Alive> {
@@ -348,7 +351,7 @@
     /// one.
     async fn take_over(&mut self, reason: Reason, owned: Option<Owned>) {
         let fence = owned.as_ref().map_or(0, |owned| owned.ownership.fence);
-        let needs_votes = reason == Reason::Silent && !self.is_disabled(Mechanism::Votes);
+        let needs_votes = reason == Reason::Silent && !self.is_switched_off(Mechanism::Votes);
         if needs_votes && self.is_reachable_by_others(&owned, fence).await {
             self.reason = None;
             self.node.last_contact.set(self.node.mono());
@@ -358,12 +361,12 @@
             "taking over: owner is {reason:?}, last contact {} ms ago",
             self.node.mono().since(self.node.last_contact.get())
         );
-        self.node.say("member", &text);
+        self.node.log_line("member", &text);
         self.reason = None;
         self.swap(reason, owned, fence).await;
     }
 
-    fn is_disabled(&self, mechanism: Mechanism) -> bool {
+    fn is_switched_off(&self, mechanism: Mechanism) -> bool {
         self.node.settings.cell.without.contains(mechanism)
     }
 
@@ -379,7 +382,7 @@
             .map(|member| {
                 let node = self.node.clone();
                 tokio::task::spawn_local(async move {
-                    let request = Request::Heard(fence);
+                    let request = Request::HasRecentContact(fence);
                     let vote = node.links.call(&member.address, &request, VOTE_TIMEOUT);
                     matches!(vote.await, Ok(Response::Flag(true)))
                 })
@@ -422,7 +425,7 @@
             fence,
             released: false,
         };
-        let value = encode(&ownership).expect("an ownership is encoded");
+        let value = encode(&ownership).expect("an ownership can be encoded");
         let transaction = Transaction::swap(OWNER, revision, value.clone());
         self.node.record_swap(fence);
         match self.node.store_commit(&transaction).await {
--- a/crates/stackpierd/src/lib.rs
+++ b/crates/stackpierd/src/lib.rs
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The daemon of an entry VM: a shell of I/O around the decisions in
-//! `stackpier-coordination`.
+//! The daemon of an entry VM. It does the I/O; `stackpier-coordination` makes
+//! the decisions.
 
 pub mod acceptance;
 pub mod backend;
@@ -13,8 +13,8 @@
 pub mod metrics;
 pub mod operators;
 pub mod peers;
+pub mod pool;
 pub mod request;
 pub mod routing;
 pub mod scheduler;
-pub mod sender;
 pub mod settings;
--- a/crates/stackpierd/src/sender.rs
+++ b/crates/stackpierd/src/pool.rs
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//! Threads that wait for upstreams, so that a caller's thread can give up at
-//! its deadline and the slot is still given back when the answer comes.
+//! A pool of threads that wait for the answers of upstreams. A caller's thread
+//! can give up at its deadline, and the slot at the upstream is still released
+//! when the answer comes.
 
 use std::{
     sync::{
@@ -12,56 +13,56 @@
 
 use flume::{Receiver, Sender};
 
-/// Job is a piece of blocking work.
+/// Job is a blocking operation for a thread of a [`Pool`].
 pub trait Job: Send + 'static {
-    /// run does the work.
+    /// run carries out the job.
     fn run(self);
 }
 
-/// Pool runs jobs on threads that it starts as they are needed.
+/// Pool runs jobs on threads. It starts a new one when none is idle.
 pub struct Pool<J> {
     queue: Sender<J>,
-    taken: Receiver<J>,
+    jobs: Receiver<J>,
     idle: Arc<AtomicUsize>,
 }
 
 impl<J: Job> Default for Pool<J> {
     fn default() -> Self {
-        let (queue, taken) = flume::unbounded();
+        let (queue, jobs) = flume::unbounded();
         Pool {
             queue,
-            taken,
+            jobs,
             idle: Arc::default(),
         }
     }
 }
 
 impl<J: Job> Pool<J> {
-    /// run hands a job to a thread. The count of jobs at once is bounded by
-    /// the callers' requests.
+    /// run queues a job for a thread. The pool sets no limit on concurrent jobs:
+    /// the limit on callers' requests bounds them.
     pub fn run(&self, job: J) {
-        let claimed = self
+        let reserved = self
             .idle
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |idle| {
                 idle.checked_sub(1)
             });
-        if claimed.is_err() {
-            self.grow();
+        if reserved.is_err() {
+            self.spawn_thread();
         }
         let _ = self.queue.send(job);
     }
 
-    fn grow(&self) {
-        let taken = self.taken.clone();
+    fn spawn_thread(&self) {
+        let jobs = self.jobs.clone();
         let idle = Arc::clone(&self.idle);
         let thread = thread::Builder::new().name("sender".to_owned());
         let started = thread.spawn(move || {
-            for job in taken {
+            for job in jobs {
                 job.run();
                 idle.fetch_add(1, Ordering::SeqCst);
             }
         });
-        // Without a new thread the job waits for one of those there are.
+        // If no thread can be started, the job waits for an existing one.
         drop(started);
     }
 }
--- a/crates/stackpierd/src/settings/check.rs
+++ b/crates/stackpierd/src/settings/check.rs
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The check of the settings file, and the options made of it.
+//! The check of the settings file, and the options built from it.
 
 use std::net::SocketAddr;
 
@@ -28,14 +28,14 @@
             "thousandths",
         )?;
         let shards = within("home_shards", raw.home_shards, 1..=64, "shards")?;
-        let seeds = raw.seeds.iter().map(|seed| address("seeds", seed));
+        let seeds = raw.seeds.iter().map(|seed| parse_address("seeds", seed));
         Ok(Settings {
-            vm: name("vm", &raw.vm)?,
-            data_centre: name("data_centre", &raw.data_centre)?,
-            callers: address("callers", &raw.callers)?,
-            operators: address("operators", &raw.operators)?,
-            peers: address("peers", &raw.peers)?,
-            platform: address("platform", &raw.platform)?,
+            vm: parse_name("vm", &raw.vm)?,
+            data_centre: parse_name("data_centre", &raw.data_centre)?,
+            callers: parse_address("callers", &raw.callers)?,
+            operators: parse_address("operators", &raw.operators)?,
+            peers: parse_address("peers", &raw.peers)?,
+            platform: parse_address("platform", &raw.platform)?,
             seeds: seeds.collect::<Result<_, _>>()?,
             log: check_log(&raw.log)?,
             caller_options: caller_options(limits, times),
@@ -75,7 +75,7 @@
         ..route::Options::default()
     };
     options.limit.start = limits.upstream_start;
-    options.limit.most = limits.upstream_most;
+    options.limit.max_value = limits.upstream_most;
     options
 }
 
@@ -95,13 +95,15 @@
         commit_ms: times.commit_ms,
         sweep_ms: times.sweep_ms,
         shards,
-        policy: policy::Options { most_excess_milli },
+        policy: policy::Options {
+            max_excess_milli: most_excess_milli,
+        },
     }
 }
 
 fn check_times(times: &RawTimes) -> Result<&RawTimes, Invalid> {
-    let ms = |field: &str, value: u64, least: u64, most: u64| {
-        within(&format!("times.{field}"), value, least..=most, "ms").map(|_| ())
+    let ms = |field: &str, value: u64, min: u64, max: u64| {
+        within(&format!("times.{field}"), value, min..=max, "ms").map(|_| ())
     };
     ms("head_ms", times.head_ms, 10, 600_000)?;
     ms("body_ms", times.body_ms, 10, 600_000)?;
@@ -153,11 +155,11 @@
         1.0..=1_000.0,
         "requests",
     )?;
-    let most = limits.upstream_start..=1_000.0;
+    let range = limits.upstream_start..=1_000.0;
     within(
         "limits.upstream_most",
         limits.upstream_most,
-        most,
+        range,
         "requests",
     )?;
     Ok(limits)
@@ -188,11 +190,11 @@
     Ok(Log { format, level })
 }
 
-fn name(field: &str, text: &str) -> Result<Name, Invalid> {
+fn parse_name(field: &str, text: &str) -> Result<Name, Invalid> {
     Name::try_from(text).map_err(|reason| invalid(field, format!("'{text}'"), reason))
 }
 
-fn address(field: &str, text: &str) -> Result<SocketAddr, Invalid> {
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr, Invalid> {
     text.parse()
         .map_err(|_| invalid(field, format!("'{text}'"), "an address as IP:port"))
 }
--- a/crates/stackpierd/src/settings/raw.rs
+++ b/crates/stackpierd/src/settings/raw.rs
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-//! The settings file as written, with its defaults.
+//! The settings file before the check, with the defaults.
 
 use serde::Deserialize;
 use stackpier_coordination::{membership, once, owner, placer, policy, route};
 use stackpier_transport::callers;
 
-/// Raw is the settings file as written.
+/// Raw holds the settings file before the check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Raw {
@@ -30,14 +30,14 @@
 }
 
 fn default_excess() -> u32 {
-    policy::Options::default().most_excess_milli
+    policy::Options::default().max_excess_milli
 }
 
 fn default_shards() -> u16 {
     placer::Options::default().shards
 }
 
-/// RawLog is how the daemon should log, as written.
+/// RawLog holds the settings of the log before the check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct RawLog {
@@ -54,7 +54,7 @@
     }
 }
 
-/// RawLimits are the bounds on callers and upstreams, as written.
+/// RawLimits holds the limits on callers and upstreams before the check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct RawLimits {
@@ -78,12 +78,12 @@
             head_bytes: callers.head_bytes,
             queue: route.queue,
             upstream_start: route.limit.start,
-            upstream_most: route.limit.most,
+            upstream_most: route.limit.max_value,
         }
     }
 }
 
-/// RawTimes are the times, in milliseconds, as written.
+/// RawTimes holds the times, in milliseconds, before the check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct RawTimes {
